--- a/crates/front/src/concern.rs
+++ b/crates/front/src/concern.rs
@@ -10,7 +10,7 @@
 use indexmap::IndexMap;
 use model::id::{GroupId, InstanceId, ProxyId};
 use model::unit::{Span, Time};
-use policy::watch::Doubt;
+use policy::primary_monitor::Doubt;
 use serde::{Deserialize, Serialize};
 
 /// Time for which a report counts: a few of the pauses between two of them.
--- a/crates/front/src/coordinator.rs
+++ b/crates/front/src/coordinator.rs
@@ -16,8 +16,8 @@
 use model::id::{GroupId, InstanceId, ProxyId};
 use model::position::Revision;
 use model::unit::{Span, Time};
-use policy::agree::{self, Doubts};
 use policy::expected::{Expected, Late, Purpose};
+use policy::quorum::{self, Doubts};
 use policy::takeover::{Answer, Cause, Token};
 use store::client::Client;
 use store::error::Error;
@@ -270,7 +270,7 @@
                 settling: self.named.settling(group),
                 holders: state.holders(group) as usize,
             };
-            agree::doubted(&doubts, |id| state.is_announced(id))
+            quorum::doubted(&doubts, |id| state.is_announced(id))
         })
     }
 
@@ -278,7 +278,7 @@
     fn lags(&self, group: &GroupId, told: &[(ProxyId, Concern)]) -> bool {
         let lags = told.iter().filter(|(_, concern)| concern.lags).count();
         let holders = self.directory.with(|state| state.holders(group));
-        lags >= agree::needed(holders as usize) && self.lag_handled.due(group)
+        lags >= quorum::needed(holders as usize) && self.lag_handled.due(group)
     }
 }
 
--- a/crates/front/src/directory/state.rs
+++ b/crates/front/src/directory/state.rs
@@ -12,7 +12,7 @@
 use model::route::Routes;
 use model::unit::{Span, Time};
 use platform::{entry, routes};
-use policy::neighbour;
+use policy::store_reader;
 use store::kv::{Listing, Record};
 use store::watch::{Batch, Change};
 
@@ -103,7 +103,10 @@
         for announced in self.proxies.values().flatten() {
             *centres.entry(&announced.data_centre).or_default() += 1;
         }
-        let readers = centres.into_values().map(neighbour::readers).sum::<usize>();
+        let readers = centres
+            .into_values()
+            .map(store_reader::readers)
+            .sum::<usize>();
         u32::try_from(readers).unwrap_or(u32::MAX).max(1)
     }
 
--- a/crates/front/src/directory/state/placement.rs
+++ b/crates/front/src/directory/state/placement.rs
@@ -3,8 +3,8 @@
 use std::net::SocketAddr;
 
 use model::id::{GroupId, ProxyId};
-use policy::carry::{self, Plan, Proxy};
-use policy::detour;
+use policy::fallback;
+use policy::pooler::{self, Plan, Proxy};
 
 use super::State;
 
@@ -53,14 +53,14 @@
                 })
             })
             .collect();
-        let plan = carry::plan(group, connections, me, &live);
+        let plan = pooler::plan(group, connections, me, &live);
         let placed = Placed {
             plan: plan.clone(),
             connections,
             live: self.live,
         };
         self.placed.insert(group.clone(), placed);
-        let peers = detour::peers(group, me, &live);
+        let peers = fallback::peers(group, me, &live);
         Some(Placement { plan, peers })
     }
 
--- a/crates/front/src/group.rs
+++ b/crates/front/src/group.rs
@@ -15,9 +15,9 @@
 use model::position::Point;
 use model::unit::{Span, Time};
 use policy::pool::{self, Action, Ask, Grant, OpenFault, Pool, Refused};
+use policy::primary_monitor::Watch;
 use policy::proof::Proof;
 use policy::receipt::Replica;
-use policy::watch::Watch;
 
 use crate::changes::Changes;
 use crate::clock;
--- a/crates/front/src/group/probe.rs
+++ b/crates/front/src/group/probe.rs
@@ -9,8 +9,8 @@
 use model::statement::Code;
 use model::unit::{Span, Time};
 use policy::pool::{Action, OpenFault};
+use policy::primary_monitor::Finding;
 use policy::proof::Proof;
-use policy::watch::Finding;
 
 use super::{Group, Message, Reply};
 use crate::clock;
--- a/crates/front/src/lend.rs
+++ b/crates/front/src/lend.rs
@@ -7,9 +7,9 @@
 use indexmap::IndexMap;
 use model::id::{GroupId, ProxyId};
 use model::unit::Span;
-use policy::borrow::{Next, Round};
-use policy::detour::{Detour, Way};
+use policy::fallback::{Detour, Way};
 use policy::pool::{Ask, Reason, Refused};
+use policy::pooler_retry::{Next, Round};
 
 use crate::clock;
 use crate::cx::Cx;
--- a/crates/front/src/relay/client.rs
+++ b/crates/front/src/relay/client.rs
@@ -9,8 +9,8 @@
 use model::id::{GroupId, ProxyId};
 use model::position::Revision;
 use model::unit::{Span, Time};
-use policy::borrow;
 use policy::pool::{Ask, Refused};
+use policy::pooler_retry;
 use policy::receipt::Write;
 use store::client::TIME_LIMIT;
 use store::mirror::News;
@@ -57,7 +57,7 @@
     /// The statement is refused; another carrier would not do better.
     Refused(Refused),
     /// Another carrier may be asked.
-    Elsewhere(borrow::Miss),
+    Elsewhere(pooler_retry::Miss),
 }
 
 /// Connections to carriers.
@@ -90,7 +90,7 @@
         let now = clock::now();
         let until = self.0.passed_over.borrow().get(carrier).copied();
         if until.is_some_and(|until| now < until) {
-            return Err(Miss::Elsewhere(borrow::Miss::Silent));
+            return Err(Miss::Elsewhere(pooler_retry::Miss::Silent));
         }
         let idle = self.take_idle(carrier);
         let reused = idle.is_some();
@@ -107,7 +107,7 @@
                 let until = clock::now() + PASS_OVER;
                 let mut passed_over = self.0.passed_over.borrow_mut();
                 passed_over.insert(carrier.clone(), until);
-                Miss::Elsewhere(borrow::Miss::Silent)
+                Miss::Elsewhere(pooler_retry::Miss::Silent)
             }
         })
     }
@@ -253,7 +253,8 @@
         group: &GroupId,
         ask: &Ask,
     ) -> Result<Lent, Trouble> {
-        let request = to_wire(group, ask).ok_or(Trouble::Elsewhere(borrow::Miss::OutOfReach))?;
+        let request =
+            to_wire(group, ask).ok_or(Trouble::Elsewhere(pooler_retry::Miss::OutOfReach))?;
         let mut conn = match conn {
             Some(conn) => conn,
             None => connect(address).await.map_err(Trouble::Broken)?,
@@ -297,9 +298,9 @@
     ) -> Result<Lent, Trouble> {
         self.keep(carrier, conn);
         Err(Trouble::Elsewhere(match answer {
-            FromCarrier::Starting => borrow::Miss::Starting,
-            FromCarrier::OutOfReach => borrow::Miss::OutOfReach,
-            _ => borrow::Miss::Stopping,
+            FromCarrier::Starting => pooler_retry::Miss::Starting,
+            FromCarrier::OutOfReach => pooler_retry::Miss::OutOfReach,
+            _ => pooler_retry::Miss::Stopping,
         }))
     }
 
@@ -382,7 +383,7 @@
 /// Why one try brought no loan.
 enum Trouble {
     Refused(Refused),
-    Elsewhere(borrow::Miss),
+    Elsewhere(pooler_retry::Miss),
     Broken(ConnError),
 }
 
--- a/crates/front/src/run.rs
+++ b/crates/front/src/run.rs
@@ -9,7 +9,7 @@
 use compio::net::TcpListener;
 use futures_util::FutureExt as _;
 use model::unit::Span;
-use policy::carry::Proxy;
+use policy::pooler::Proxy;
 use store::calls::Purpose;
 use store::client::Client;
 
--- a/crates/front/tests/carriers.rs
+++ b/crates/front/tests/carriers.rs
@@ -5,7 +5,7 @@
 use std::thread;
 
 use env::{Caller, DATABASES, metrics, proxy, proxy_and_metrics, wait, with_connections};
-use policy::carry::{self, Proxy};
+use policy::pooler::{self, Proxy};
 use standin::managed::{Fault, Managed};
 
 fn caller(proxy: std::net::SocketAddr, database: &str) -> Caller {
@@ -107,7 +107,7 @@
     };
     let borrows = |name: &str| {
         let live = ["p1", "p2", "p3"].map(known);
-        !carry::plan(&"ledger".parse().unwrap(), 2, &known(name), &live).own
+        !pooler::plan(&"ledger".parse().unwrap(), 2, &known(name), &live).own
     };
     let name = ["p4", "p5", "p6", "p7"]
         .into_iter()
--- a/crates/front/tests/notes.rs
+++ b/crates/front/tests/notes.rs
@@ -13,7 +13,7 @@
 use model::id::GroupId;
 use model::position::Revision;
 use platform::kv;
-use policy::carry::Proxy;
+use policy::pooler::Proxy;
 use standin::managed::Managed;
 use store::client::Client;
 use store::kv::Record;
--- a/crates/front/tests/report.rs
+++ b/crates/front/tests/report.rs
@@ -13,7 +13,7 @@
 use indexmap::IndexMap;
 use model::id::{GroupId, InstanceId, ProxyId};
 use model::unit::Span;
-use policy::watch::Doubt;
+use policy::primary_monitor::Doubt;
 
 fn group() -> GroupId {
     "ledger".parse().unwrap()
--- a/crates/policy/src/detour.rs
+++ b/crates/policy/src/fallback.rs
@@ -11,7 +11,7 @@
 use model::id::{DataCentre, GroupId, ProxyId};
 use model::unit::{Span, Time};
 
-use crate::carry::Proxy;
+use crate::pooler::Proxy;
 use crate::rank;
 
 /// Proxies that are asked in one round.
--- a/crates/policy/src/group.rs
+++ b/crates/policy/src/group.rs
@@ -18,6 +18,7 @@
 
 use crate::confirm::{self, Confirm};
 use crate::decision::{Decision, Fact, Phase, Ring, Trace, What};
+use crate::failure_detector::{Heard, Reach, Verdict};
 use crate::fresh::Freshness;
 use crate::message::{
     Action, Ask, Audience, Channel, Event, Peer, PeerView, Query, StoreAsk, Ticket, Versioned,
@@ -27,7 +28,6 @@
 use crate::read::Load;
 use crate::spec::{Me, Spec};
 use crate::status::Observed;
-use crate::suspect::{Heard, Reach, Verdict};
 use waiting::Waiting;
 
 /// Span within which a step at most must follow the last one, so that retries and
--- a/crates/policy/src/group/answer.rs
+++ b/crates/policy/src/group/answer.rs
@@ -5,11 +5,11 @@
 
 use super::Group;
 use crate::decision::{Fact, Phase, What};
+use crate::failure_detector::Heard;
 use crate::message::{Audience, PeerView, Query, StoreAnswer, Versioned};
 use crate::promote::{Choice, Progress};
 use crate::route::Failure;
 use crate::status::{Observed, Status};
-use crate::suspect::Heard;
 
 impl Group {
     pub(super) fn take_answer(&mut self, query: Query, result: Result<Status, Failure>) {
--- a/crates/policy/src/group/drive.rs
+++ b/crates/policy/src/group/drive.rs
@@ -6,11 +6,11 @@
 
 use super::Group;
 use crate::decision::{Cause, Fact, Phase, What};
+use crate::failure_detector::{Verdict, View};
 use crate::message::{Ask, Audience, Channel, Peer, StoreAsk};
 use crate::poll::{self, Due};
 use crate::promote::{Attempt, Order};
 use crate::rank;
-use crate::suspect::{Verdict, View};
 
 /// Head start of each proxy over the next one in rank. It covers claim and fence over
 /// 20 ms between regions, so that the next one usually sees the fence and holds back.
@@ -33,7 +33,7 @@
 const READ_AGAIN: Span = Span::from_millis(500);
 
 /// Longest single wait of an instance for a position; afterwards it is asked anew, so that
-/// a lost answer does not hold up a confirmation. It lies well below [`crate::suspect::DOUBT_AFTER`]
+/// a lost answer does not hold up a confirmation. It lies well below [`crate::failure_detector::DOUBT_AFTER`]
 /// because status questions queue behind it on the same connection.
 const WAIT: Span = Span::from_millis(50);
 
--- a/crates/policy/src/group/repair.rs
+++ b/crates/policy/src/group/repair.rs
@@ -6,9 +6,9 @@
 
 use super::Group;
 use crate::decision::What;
+use crate::failure_detector::Verdict;
 use crate::message::{Ask, Channel};
 use crate::status::{Observed, Role, Status};
-use crate::suspect::Verdict;
 
 /// Interval at which an instance is told again to follow; a rebuild may take longer, and
 /// the order is repeated without harm.
--- a/crates/policy/src/group/waiting.rs
+++ b/crates/policy/src/group/waiting.rs
@@ -10,11 +10,11 @@
 use model::unit::{Span, Time};
 
 use super::Group;
+use crate::failure_detector::{DOUBT_AFTER, Verdict};
 use crate::message::{Action, Ticket};
 use crate::read::{Choice, Pick};
 use crate::route::{Failure, ReadNeed, Refusal, Target};
 use crate::status::Role;
-use crate::suspect::{DOUBT_AFTER, Verdict};
 
 /// Longest time that a request waits for a primary or a fresh instance. The slowest
 /// change of primary aimed at takes 3 s; after that nothing says when the next will come.
--- a/crates/policy/src/poll.rs
+++ b/crates/policy/src/poll.rs
@@ -3,8 +3,8 @@
 use model::position::Position;
 use model::unit::{Span, Time};
 
+use crate::failure_detector::DOUBT_AFTER;
 use crate::message::Query;
-use crate::suspect::DOUBT_AFTER;
 
 /// Interval while requests run. Load: reads that are routed to replicas by freshness; an
 /// older view of a replica sends its reads to the primary. One status row takes some
--- a/crates/policy/tests/carry.rs
+++ b/crates/policy/tests/pooler.rs
@@ -2,7 +2,7 @@
 
 use indexmap::IndexMap;
 use model::id::{GroupId, ProxyId};
-use policy::carry::{Proxy, plan};
+use policy::pooler::{Proxy, plan};
 use test_case::test_case;
 
 fn fleet(centres: usize, each: usize) -> Vec<Proxy> {
--- a/crates/policy/tests/borrow.rs
+++ b/crates/policy/tests/pooler_retry.rs
@@ -1,7 +1,7 @@
 //! What borrowers do while the carriers of their data centre restart or are gone.
 
 use model::unit::Span;
-use policy::borrow::{Miss, Next, Round};
+use policy::pooler_retry::{Miss, Next, Round};
 use test_case::test_case;
 
 /// Plays one round; gives how it ends, and how many carriers were asked.
--- a/crates/policy/tests/watch.rs
+++ b/crates/policy/tests/primary_monitor.rs
@@ -3,7 +3,7 @@
 use model::entry::Entry;
 use model::id::InstanceId;
 use model::unit::Time;
-use policy::watch::{Doubt, Finding, Watch};
+use policy::primary_monitor::{Doubt, Finding, Watch};
 
 fn id(name: &str) -> InstanceId {
     name.parse().unwrap()
--- a/crates/policy/tests/neighbour.rs
+++ b/crates/policy/tests/store_reader.rs
@@ -2,7 +2,7 @@
 
 use model::id::ProxyId;
 use model::unit::{Span, Time};
-use policy::neighbour::{self, Neighbours, Source};
+use policy::store_reader::{self, Neighbours, Source};
 use test_case::test_case;
 
 fn fleet(size: usize) -> Vec<ProxyId> {
@@ -35,7 +35,7 @@
     let here = fleet(proxies);
     let reads = |me: &&ProxyId| Neighbours::default().source(me, &here, at(0)) == Source::Store;
     let readers = here.iter().filter(reads).count() * data_centres;
-    assert_eq!(neighbour::readers(proxies) * data_centres, readers);
+    assert_eq!(store_reader::readers(proxies) * data_centres, readers);
     let full_ms = readers * CONFIGURATION * 1_000 / LINK;
     assert!(full_ms <= FULL_FOR_MS, "{full_ms} ms by {readers} readers");
 }
--- a/crates/policy/tests/follow.rs
+++ b/crates/policy/tests/store_watch.rs
@@ -1,7 +1,7 @@
 //! Following the store, in virtual time: when a change is in force.
 
 use model::unit::{Span, Time};
-use policy::follow::Follow;
+use policy::store_watch::Follow;
 use rand::SeedableRng as _;
 use rand::rngs::StdRng;
 use test_case::test_case;
