--- a/crates/front/src/changes.rs
+++ b/crates/front/src/changes.rs
@@ -14,7 +14,7 @@
 use model::id::GroupId;
 use model::unit::{Span, Time};
 use platform::kv;
-use policy::receipt::Counted;
+use policy::replica_ack::Counted;
 use store::calls::Purpose;
 use store::client::Client;
 
--- a/crates/front/src/coordinator.rs
+++ b/crates/front/src/coordinator.rs
@@ -16,7 +16,7 @@
 use model::id::{GroupId, InstanceId, ProxyId};
 use model::position::Revision;
 use model::unit::{Span, Time};
-use policy::expected::{Expected, Late, Purpose};
+use policy::order_tracker::{Expected, Late, Purpose};
 use policy::quorum::{self, Doubts};
 use policy::takeover::{Answer, Cause, Token};
 use store::client::Client;
--- a/crates/front/src/coordinator/order.rs
+++ b/crates/front/src/coordinator/order.rs
@@ -6,8 +6,8 @@
 use model::id::{GroupId, InstanceId};
 use model::position::Revision;
 use model::unit::Time;
-use policy::expected::Purpose;
 use policy::order;
+use policy::order_tracker::Purpose;
 use policy::takeover::Answer;
 
 use super::Coordinator;
--- a/crates/front/src/coordinator/takeover.rs
+++ b/crates/front/src/coordinator/takeover.rs
@@ -8,7 +8,7 @@
 use model::position::Revision;
 use model::unit::{Span, Time};
 use platform::line::Own;
-use policy::expected::Purpose;
+use policy::order_tracker::Purpose;
 use policy::takeover::{self, Answer, Cause, Hold, Look, Member, Role, State, Step};
 
 use super::links::Links;
--- a/crates/front/src/group.rs
+++ b/crates/front/src/group.rs
@@ -17,7 +17,7 @@
 use policy::pool::{self, Action, Ask, Grant, OpenFault, Pool, Refused};
 use policy::primary_monitor::Watch;
 use policy::proof::Proof;
-use policy::receipt::Replica;
+use policy::replica_ack::Replica;
 
 use crate::changes::Changes;
 use crate::clock;
--- a/crates/front/src/group/handle.rs
+++ b/crates/front/src/group/handle.rs
@@ -6,7 +6,7 @@
 use model::id::{GroupId, InstanceId};
 use model::unit::{Span, Time};
 use policy::pool::{Ask, Reason, Refused};
-use policy::receipt::{Replica, Write};
+use policy::replica_ack::{Replica, Write};
 
 use super::receipt::Request;
 use super::{Lent, Message, Note, Shares, View};
--- a/crates/front/src/group/lent.rs
+++ b/crates/front/src/group/lent.rs
@@ -7,7 +7,7 @@
 use model::position::Point;
 use model::unit::Time;
 use policy::pool::Grant;
-use policy::receipt::Write;
+use policy::replica_ack::Write;
 
 use super::{Handle, Message, Note, Returned, probe};
 use crate::conn::Conn;
--- a/crates/front/src/group/receipt.rs
+++ b/crates/front/src/group/receipt.rs
@@ -6,7 +6,7 @@
 use model::id::{GroupId, InstanceId};
 use model::unit::{Span, Time};
 use policy::pool::{Ask, Kind};
-use policy::receipt::{self, Replica, Silent, Unproven, Write};
+use policy::replica_ack::{self, Replica, Silent, Unproven, Write};
 
 use super::{Handle, Lent};
 use crate::changes::Changes;
@@ -83,7 +83,7 @@
         let mut replicas = self.handle.replicas().await;
         replicas.retain(Replica::proves);
         let mut left_out = Vec::new();
-        for replica in receipt::in_order(replicas, &self.silent, clock::now()) {
+        for replica in replica_ack::in_order(replicas, &self.silent, clock::now()) {
             let Some(lent) = self.lend(&replica.id).await else {
                 continue;
             };
--- a/crates/front/src/metrics.rs
+++ b/crates/front/src/metrics.rs
@@ -3,7 +3,7 @@
 use model::statement::Code;
 use model::unit::Span;
 use platform::line::{self, Own};
-use policy::expected::Purpose;
+use policy::order_tracker::Purpose;
 use policy::takeover::{Answer, Cause, Hold};
 use prometheus::{
     Encoder as _, Histogram, HistogramOpts, IntCounter, IntCounterVec, IntGaugeVec, Opts, Registry,
--- a/crates/front/src/relay/carrier.rs
+++ b/crates/front/src/relay/carrier.rs
@@ -7,7 +7,7 @@
 use model::unit::{Span, Time};
 use policy::pool::Reason;
 use policy::proof::Proof;
-use policy::receipt::Write;
+use policy::replica_ack::Write;
 
 use super::{FromCarrier, MARK, Returned, ToCarrier, decode, encode, from_wire};
 use crate::clock;
--- a/crates/front/src/relay/client.rs
+++ b/crates/front/src/relay/client.rs
@@ -11,7 +11,7 @@
 use model::unit::{Span, Time};
 use policy::pool::{Ask, Refused};
 use policy::pooler_retry;
-use policy::receipt::Write;
+use policy::replica_ack::Write;
 use store::client::TIME_LIMIT;
 use store::mirror::News;
 
--- a/crates/load/src/saturation/discipline.rs
+++ b/crates/load/src/saturation/discipline.rs
@@ -5,10 +5,10 @@
 use indexmap::IndexMap;
 use model::id::InstanceId;
 use model::unit::Time;
-use policy::admit::{self, Admission, End, Limits};
-use policy::load::{Scores, Standing};
+use policy::admission::{self, Admission, End, Limits};
+use policy::outlier::{Scores, Standing};
 use policy::queue::{Key, Ticket};
-use policy::{service, slots};
+use policy::{service_time, slots};
 use rand::SeedableRng as _;
 use rand::rngs::SmallRng;
 
@@ -200,18 +200,23 @@
         ticks.min()
     }
 
-    fn perform(&mut self, server: usize, actions: Vec<admit::Action>, now: Time) -> Vec<Action> {
+    fn perform(
+        &mut self,
+        server: usize,
+        actions: Vec<admission::Action>,
+        now: Time,
+    ) -> Vec<Action> {
         let mut out = Vec::with_capacity(actions.len());
         for action in actions {
             match action {
-                admit::Action::Start(key) => {
+                admission::Action::Start(key) => {
                     let request = self.waiting.swap_remove(&(server, key));
                     let request = request.expect("a started request was waiting");
                     self.running.insert(request, (server, key, now));
                     self.scores.started(&self.names[server], now);
                     out.push(Action::Start { request, server });
                 }
-                admit::Action::Refuse(key, _) => {
+                admission::Action::Refuse(key, _) => {
                     let request = self.waiting.swap_remove(&(server, key));
                     out.extend(request.map(Action::Refuse));
                 }
@@ -228,7 +233,7 @@
         weight: 1,
         class: arrival.kind.name().parse().expect("a plain identifier"),
         class_weight: arrival.kind.weight(),
-        shape: service::Shape(u64::from(arrival.long)),
+        shape: service_time::Shape(u64::from(arrival.long)),
         deadline: arrival.deadline(),
     }
 }
--- a/crates/load/src/slopes/adoption.rs
+++ b/crates/load/src/slopes/adoption.rs
@@ -7,7 +7,7 @@
 use model::config::Fleet;
 use model::document::{self, Encoded};
 use model::position::Revision;
-use policy::adopt::{Adopter, Change, Delta, Record};
+use policy::config_mirror::{Adopter, Change, Delta, Record};
 
 use super::process;
 use crate::report::Table;
--- a/crates/policy/src/admit.rs
+++ b/crates/policy/src/admission.rs
@@ -8,7 +8,7 @@
 use rand::Rng;
 
 use crate::queue::{self, Key, Ticket};
-use crate::service::{Length, Times};
+use crate::service_time::{Length, Times};
 use crate::slots::{self, Slots};
 
 /// Smallest hint to come back, so that a refused caller cannot spin.
--- a/crates/policy/src/group.rs
+++ b/crates/policy/src/group.rs
@@ -19,7 +19,7 @@
 use crate::confirm::{self, Confirm};
 use crate::decision::{Decision, Fact, Phase, Ring, Trace, What};
 use crate::failure_detector::{Heard, Reach, Verdict};
-use crate::fresh::Freshness;
+use crate::freshness::Freshness;
 use crate::message::{
     Action, Ask, Audience, Channel, Event, Peer, PeerView, Query, StoreAsk, Ticket, Versioned,
 };
--- a/crates/policy/src/group/answer.rs
+++ b/crates/policy/src/group/answer.rs
@@ -174,8 +174,9 @@
     fn outrun(&mut self, found: Versioned) {
         let attempt = self.attempt.take();
         let record = found.record.clone();
-        let finished = |r: &crate::lead::Record| r.primary.is_some() && r.term <= self.lead.term;
-        let own = |r: &crate::lead::Record| r.claimant == self.me.id;
+        let finished =
+            |r: &crate::leadership::Record| r.primary.is_some() && r.term <= self.lead.term;
+        let own = |r: &crate::leadership::Record| r.claimant == self.me.id;
         let over = record.as_ref().is_none_or(|r| finished(r) || own(r));
         if let (false, Some(record), Some(attempt)) = (over, &record, attempt) {
             let what = What::Outrun(record.claimant.clone());
--- a/crates/policy/src/message.rs
+++ b/crates/policy/src/message.rs
@@ -6,7 +6,7 @@
 use model::unit::{Span, Time};
 
 use crate::decision::Decision;
-use crate::lead::Record;
+use crate::leadership::Record;
 use crate::route::{Failure, ReadNeed, Refusal, Target, Unconfirmed};
 use crate::spec::Spec;
 use crate::status::Status;
--- a/crates/policy/src/promote.rs
+++ b/crates/policy/src/promote.rs
@@ -11,7 +11,7 @@
 use model::unit::{Span, Time};
 
 use crate::decision::{Cause, Fact, Trace};
-use crate::lead::Record;
+use crate::leadership::Record;
 use crate::message::{Ask, Query, StoreAnswer, StoreAsk, Versioned};
 use crate::spec::Spec;
 use crate::status::Status;
--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/queue.rs
@@ -12,7 +12,7 @@
 use model::id;
 use model::unit::{Span, Time};
 
-use crate::service;
+use crate::service_time;
 use crate::slots::Room;
 
 /// Class weight from which requests are urgent. Load: listings fill the queue
@@ -43,7 +43,7 @@
     /// The class's share against other classes of the caller; at least 1.
     pub class_weight: u32,
     /// Shape of the statement, by which its service time is learned.
-    pub shape: service::Shape,
+    pub shape: service_time::Shape,
     /// Moment after which the answer is useless to the caller.
     pub deadline: Time,
 }
@@ -58,7 +58,7 @@
     /// Expected service time.
     pub cost: Span,
     /// Whether it counts as long work.
-    pub length: service::Length,
+    pub length: service_time::Length,
     /// When it was queued.
     pub since: Time,
     /// Wait that the backlog alone suggested then.
@@ -120,7 +120,7 @@
     }
 }
 
-type LaneKey = (id::Class, service::Length);
+type LaneKey = (id::Class, service_time::Length);
 
 #[derive(Clone, Debug, Default)]
 struct Flow {
@@ -168,7 +168,7 @@
 
 fn fits(room: Room, key: &LaneKey, lane: &Lane) -> bool {
     !lane.keys.is_empty()
-        && (room.long || key.1 == service::Length::Short)
+        && (room.long || key.1 == service_time::Length::Short)
         && (room.ordinary || lane.weight >= URGENT_WEIGHT)
 }
 
@@ -227,7 +227,7 @@
     }
 
     /// How much longer requests of this kind wait than the backlog suggests.
-    pub fn bias(&self, ticket: &Ticket, length: service::Length) -> f64 {
+    pub fn bias(&self, ticket: &Ticket, length: service_time::Length) -> f64 {
         let flow = self.flows.get(&ticket.caller);
         let lane = flow.and_then(|f| f.lanes.get(&(ticket.class.clone(), length)));
         lane.map_or(1.0, |lane| lane.bias)
--- a/crates/policy/src/read.rs
+++ b/crates/policy/src/read.rs
@@ -11,7 +11,7 @@
 use model::position::{Coverage, Point, Term};
 use model::unit::{Span, Time};
 
-use crate::fresh::Freshness;
+use crate::freshness::Freshness;
 use crate::route::ReadNeed;
 use crate::spec::{Member, Spec};
 use crate::status::{Observed, Role};
--- a/crates/policy/src/slots.rs
+++ b/crates/policy/src/slots.rs
@@ -7,7 +7,7 @@
 
 use model::unit::{Span, Time};
 
-use crate::service;
+use crate::service_time;
 
 /// Time that a server which came back takes to reach its full limit. Load: the
 /// backlog of a failover; harm: an instance with cold caches and no warm
@@ -190,17 +190,17 @@
     }
 
     /// Counts a request that was sent.
-    pub fn start(&mut self, length: service::Length) {
+    pub fn start(&mut self, length: service_time::Length) {
         self.busy += 1;
-        if length == service::Length::Long {
+        if length == service_time::Length::Long {
             self.long += 1;
         }
     }
 
     /// Counts a request that ended.
-    pub fn end(&mut self, length: service::Length) {
+    pub fn end(&mut self, length: service_time::Length) {
         self.busy = self.busy.saturating_sub(1);
-        if length == service::Length::Long {
+        if length == service_time::Length::Long {
             self.long = self.long.saturating_sub(1);
         }
     }
--- a/crates/policy/tests/fleet/main.rs
+++ b/crates/policy/tests/fleet/main.rs
@@ -4,7 +4,7 @@
 
 use model::position::Revision;
 use model::unit::Span;
-use policy::adopt::Delta;
+use policy::config_mirror::Delta;
 use policy::member::delegate;
 use policy::member::table::State;
 use proptest::prelude::*;
--- a/crates/policy/tests/fleet/world.rs
+++ b/crates/policy/tests/fleet/world.rs
@@ -8,7 +8,7 @@
 use model::id::{DataCentre, ProxyId};
 use model::position::Revision;
 use model::unit::{Span, Time};
-use policy::adopt::{Adopter, Delta, Record};
+use policy::config_mirror::{Adopter, Delta, Record};
 use policy::member::Member;
 use policy::member::message::{Action, Compare, Failure, Heartbeat, Peer, Tables};
 use policy::member::table::{News, State};
--- a/crates/policy/tests/expected.rs
+++ b/crates/policy/tests/order_tracker.rs
@@ -2,7 +2,7 @@
 
 use model::id::InstanceId;
 use model::position::{Point, Term};
-use policy::expected::{Expected, Late, Purpose};
+use policy::order_tracker::{Expected, Late, Purpose};
 use policy::takeover::{Member, Role, State, Token};
 
 const HOLDER: Token = Token::first(7);
--- a/crates/policy/tests/promote.rs
+++ b/crates/policy/tests/promote.rs
@@ -6,7 +6,7 @@
 use model::position::{Revision, Term};
 use model::unit::{Span, Time};
 use policy::decision::Cause;
-use policy::lead::Record;
+use policy::leadership::Record;
 use policy::message::{Query, StoreAnswer, StoreAsk, Versioned};
 use policy::promote::{self, Attempt, Order, Progress, Step};
 use policy::spec::Spec;
--- a/crates/policy/tests/queue.rs
+++ b/crates/policy/tests/queue.rs
@@ -1,9 +1,9 @@
 //! Order, fairness and refusals of the queue in front of one backend server.
 
 use model::unit::{Span, Time};
-use policy::admit::{Action, Admission, End, Limits, Reason};
+use policy::admission::{Action, Admission, End, Limits, Reason};
 use policy::queue::{Key, Ticket};
-use policy::{service, slots};
+use policy::{service_time, slots};
 use rand::SeedableRng as _;
 use rand::rngs::SmallRng;
 use test_case::test_case;
@@ -24,7 +24,7 @@
         weight: 1,
         class: format!("class-{class_weight}").parse().unwrap(),
         class_weight,
-        shape: service::Shape(0),
+        shape: service_time::Shape(0),
         deadline: Time::from_millis(deadline),
     }
 }
--- a/crates/policy/tests/receipt.rs
+++ b/crates/policy/tests/replica_ack.rs
@@ -3,7 +3,7 @@
 use model::id::InstanceId;
 use model::position::Point;
 use model::unit::{Span, Time};
-use policy::receipt::{self, Counted, Replica, Silent, Unproven, Write};
+use policy::replica_ack::{self, Counted, Replica, Silent, Unproven, Write};
 use test_case::test_case;
 
 fn id(name: &str) -> InstanceId {
@@ -91,7 +91,7 @@
     let mut silent = Silent::default();
     silent.add(id("cut"), at(0));
     let order = |silent: &Silent, now| {
-        let order = receipt::in_order(all.clone(), silent, now);
+        let order = replica_ack::in_order(all.clone(), silent, now);
         let names = order.iter().map(|r| r.id.to_string());
         names.collect::<Vec<_>>()
     };
--- a/crates/proxy/src/admit.rs
+++ b/crates/proxy/src/admit.rs
@@ -7,9 +7,9 @@
 use indexmap::IndexMap;
 use model::id::{CallerId, Class, InstanceId};
 use model::unit::{Span, Time};
-use policy::admit::{End, Limits, Refused};
+use policy::admission::{End, Limits, Refused};
 use policy::queue::Key;
-use policy::service::Shape;
+use policy::service_time::Shape;
 
 /// A request that asks for a slot of a backend server.
 #[derive(Clone, Debug)]
--- a/crates/proxy/src/admit/task.rs
+++ b/crates/proxy/src/admit/task.rs
@@ -5,7 +5,7 @@
 use indexmap::IndexMap;
 use model::id::InstanceId;
 use model::unit::{Span, Time};
-use policy::admit::{Action, Admission, End, Limits};
+use policy::admission::{Action, Admission, End, Limits};
 use policy::queue::{self, Key};
 use rand::SeedableRng as _;
 use rand::rngs::SmallRng;
--- a/crates/proxy/src/caller/request.rs
+++ b/crates/proxy/src/caller/request.rs
@@ -9,7 +9,7 @@
 use pg::frame::{self, Frame};
 use pg::report::{self, Report};
 use pg::{marks, tag};
-use policy::service::Shape;
+use policy::service_time::Shape;
 
 use super::prepared::{self, Prepared};
 use super::session::Session;
--- a/crates/proxy/src/control.rs
+++ b/crates/proxy/src/control.rs
@@ -10,8 +10,8 @@
 use model::id::{GroupId, ProxyId};
 use peer::auth::Key;
 use peer::server::Routes;
-use policy::adopt::Record;
-use policy::lead;
+use policy::config_mirror::Record;
+use policy::leadership;
 use policy::member::table::News;
 use policy::message::{Audience, Peer, PeerView, Versioned};
 
@@ -198,7 +198,7 @@
     let Ok(group) = group.parse::<GroupId>() else {
         return;
     };
-    if record.key != lead::key(&group) {
+    if record.key != leadership::key(&group) {
         return;
     }
     match serde_json::from_str(&record.value) {
--- a/crates/proxy/src/cx.rs
+++ b/crates/proxy/src/cx.rs
@@ -16,7 +16,7 @@
 use model::unit::Span;
 use pg::classify;
 use pg::startup::Key;
-use policy::admit::Limits;
+use policy::admission::Limits;
 use policy::message::{Audience, Peer, PeerView, Versioned};
 use policy::retry;
 use policy::route::Target;
--- a/crates/proxy/src/filter.rs
+++ b/crates/proxy/src/filter.rs
@@ -11,7 +11,7 @@
 use pg::marks::Marks;
 use pg::report::{self, Report};
 use policy::outcome::Kind;
-use policy::service::Shape;
+use policy::service_time::Shape;
 
 /// What is known of a request before it is routed.
 #[derive(Clone, Debug)]
--- a/crates/proxy/src/fleet.rs
+++ b/crates/proxy/src/fleet.rs
@@ -4,7 +4,7 @@
 
 use model::config::Fleet;
 use model::position::Revision;
-pub use policy::adopt::Snapshot;
+pub use policy::config_mirror::Snapshot;
 
 /// Gives out the configuration in force; readable from any thread.
 #[derive(Clone, Debug, Default)]
--- a/crates/proxy/src/group/record.rs
+++ b/crates/proxy/src/group/record.rs
@@ -1,7 +1,7 @@
 //! The leadership record in the platform's store.
 
 use model::position::Revision;
-use policy::lead::Record;
+use policy::leadership::Record;
 use policy::message::{StoreAnswer, StoreAsk, Versioned};
 use store::client::Client;
 
--- a/crates/proxy/src/group/task.rs
+++ b/crates/proxy/src/group/task.rs
@@ -8,7 +8,7 @@
 use model::unit::{Span, Time};
 use policy::decision::{Decision, Phase, What};
 use policy::group::{self, Group};
-use policy::lead;
+use policy::leadership;
 use policy::message::{Action, Ask, Event, Query, StoreAnswer, StoreAsk, Ticket};
 use policy::route::{Refusal, Target, Unconfirmed};
 use policy::spec::{Me, Spec};
@@ -369,7 +369,7 @@
     }
 
     fn ask_store(&self, query: Query, ask: StoreAsk) {
-        let key = lead::key(&self.setup.group);
+        let key = leadership::key(&self.setup.group);
         let trace = self.trace;
         let span = trace.map(|trace| self.tracer().within("store", Side::Client, trace));
         let span = span.unwrap_or_default();
--- a/crates/proxy/src/member.rs
+++ b/crates/proxy/src/member.rs
@@ -10,7 +10,7 @@
 use model::position::Revision;
 use peer::auth::Key;
 use peer::server::{Call, Routes, Traffic};
-use policy::adopt::{Delta, Record};
+use policy::config_mirror::{Delta, Record};
 use policy::member::message::{Compare, Heartbeat, Tables};
 use policy::member::table::News;
 use policy::message::{Audience, PeerView};
--- a/crates/proxy/src/member/exchange.rs
+++ b/crates/proxy/src/member/exchange.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use peer::client::Error;
-use policy::adopt::Delta;
+use policy::config_mirror::Delta;
 use policy::member::message::{Compare, Failure, Heartbeat, Peer, Tables};
 
 use crate::trace::Tracer;
--- a/crates/proxy/src/member/task.rs
+++ b/crates/proxy/src/member/task.rs
@@ -6,7 +6,7 @@
 
 use model::unit::{Span, Time};
 use peer::server::Call;
-use policy::adopt::{Adopter, Change, Delta};
+use policy::config_mirror::{Adopter, Change, Delta};
 use policy::member::Member;
 use policy::member::message::{Action, Heartbeat};
 use policy::member::table::{News, State};
--- a/crates/proxy/src/member/watch.rs
+++ b/crates/proxy/src/member/watch.rs
@@ -5,7 +5,7 @@
 
 use model::document;
 use model::position::Revision;
-use policy::adopt::{Delta, Record};
+use policy::config_mirror::{Delta, Record};
 use store::kv;
 use store::watch::{Batch, Change};
 
--- a/crates/proxy/src/share/task.rs
+++ b/crates/proxy/src/share/task.rs
@@ -8,7 +8,7 @@
 use model::settings::Settings;
 use model::unit::{Span, Time};
 use peer::server::Call;
-use policy::admit::Limits;
+use policy::admission::Limits;
 use policy::share::{self, Borrower, Demand, Lender, Terms};
 use policy::slots::Share;
 
--- a/crates/proxy/tests/admit.rs
+++ b/crates/proxy/tests/admit.rs
@@ -4,8 +4,8 @@
 
 use model::id::InstanceId;
 use model::unit::Span;
-use policy::admit::Limits;
-use policy::service::Shape;
+use policy::admission::Limits;
+use policy::service_time::Shape;
 use policy::slots::Share;
 use proxy::admit::{self, EnterError, Handle, Permit, Ticket};
 
--- a/crates/proxy/tests/group/bed.rs
+++ b/crates/proxy/tests/group/bed.rs
@@ -49,7 +49,7 @@
                 me,
                 place,
                 address: IpAddr::from([127, 0, at as u8 + 1, 100]),
-                admit: admit::spawn(policy::admit::Limits {
+                admit: admit::spawn(policy::admission::Limits {
                     share: policy::slots::Share {
                         slots: 3,
                         shared: 20,
--- a/crates/proxy/tests/share.rs
+++ b/crates/proxy/tests/share.rs
@@ -8,7 +8,7 @@
 use model::unit::Span;
 use peer::auth::Key;
 use peer::server::{Routes, Traffic};
-use policy::admit::Limits;
+use policy::admission::Limits;
 use policy::slots;
 use proxy::backend::Login;
 use proxy::{admit, fleet, pool, share};
