--- a/crates/load/src/placement.rs
+++ b/crates/load/src/placement.rs
@@ -5,9 +5,9 @@
 use clap::{ArgMatches, Command};
 use indexmap::IndexMap;
 use model::id::{GroupId, ProxyId};
-use model::place::Place;
+use model::location::Place;
 use policy::message::Peer;
-use policy::place::{self, Homes};
+use policy::placement::{self, Homes};
 
 use crate::report::Table;
 
@@ -52,7 +52,7 @@
     let mut placed = 0;
     let start = Instant::now();
     for n in 0..groups {
-        for server in place::servers(&group(n), &homes(centres, n), &live) {
+        for server in placement::servers(&group(n), &homes(centres, n), &live) {
             *load.entry(&server.id).or_default() += 1;
             placed += 1;
         }
--- a/crates/load/src/slopes/membership.rs
+++ b/crates/load/src/slopes/membership.rs
@@ -8,9 +8,9 @@
 use miette::IntoDiagnostic as _;
 use model::unit::{Span, Time};
 use peer::codec;
-use policy::member::Member;
-use policy::member::message::{Action, Heartbeat, Peer};
-use policy::member::table::{News, State};
+use policy::membership::Member;
+use policy::membership::message::{Action, Heartbeat, Peer};
+use policy::membership::table::{News, State};
 
 use super::process;
 use crate::report::Table;
--- a/crates/model/src/config.rs
+++ b/crates/model/src/config.rs
@@ -5,7 +5,7 @@
 use indexmap::IndexMap;
 
 use crate::id::{CallerId, Class, DataCentre, GroupId, InstanceId, Region};
-use crate::place::Place;
+use crate::location::Place;
 use crate::settings::{Patch, Settings};
 
 /// Shortest reason that an exception may state, in characters.
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -10,7 +10,7 @@
 pub mod entry;
 pub mod hash;
 pub mod id;
-pub mod place;
+pub mod location;
 pub mod position;
 pub mod route;
 pub mod settings;
--- a/crates/policy/src/member/delegate.rs
+++ b/crates/policy/src/membership/delegate.rs
@@ -11,7 +11,7 @@
 use model::hash;
 use model::id::{DataCentre, ProxyId};
 
-use crate::member::table::{News, State, Table};
+use crate::membership::table::{News, State, Table};
 
 /// Proxies of a data centre that keep links to others. Two, so that the death of one
 /// leaves half of the links in place until the next in rank takes over.
--- a/crates/policy/src/member/link.rs
+++ b/crates/policy/src/membership/link.rs
@@ -4,9 +4,9 @@
 use model::id::{DataCentre, ProxyId};
 use model::unit::{Span, Time};
 
-use crate::member::delegate;
-use crate::member::message::Peer;
-use crate::member::table::{News, State, Table};
+use crate::membership::delegate;
+use crate::membership::message::Peer;
+use crate::membership::table::{News, State, Table};
 
 /// Time without any word of a data centre, by any path, after which its proxies count as
 /// gone. A cut of the links looks the same, and its proxies are better believed alive
--- a/crates/policy/src/member/message.rs
+++ b/crates/policy/src/membership/message.rs
@@ -7,7 +7,7 @@
 use model::id::{DataCentre, ProxyId};
 use model::position::Revision;
 
-use crate::member::table::News;
+use crate::membership::table::News;
 
 /// A heartbeat, and likewise its answer.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
--- a/crates/policy/src/member/spread.rs
+++ b/crates/policy/src/membership/spread.rs
@@ -3,7 +3,7 @@
 use indexmap::IndexMap;
 use model::id::ProxyId;
 
-use crate::member::table::News;
+use crate::membership::table::News;
 
 /// Most news in one heartbeat. Load: a data centre that comes back sends a hundred at
 /// once. Harm: heartbeats must stay small to fit the budget. At 8 a heartbeat holds about
--- a/crates/policy/src/message.rs
+++ b/crates/policy/src/message.rs
@@ -1,7 +1,7 @@
 //! Events that a group controller is driven by, and the actions that it asks for.
 
 use model::id::{GroupId, InstanceId, ProxyId};
-use model::place::Place;
+use model::location::Place;
 use model::position::{Point, Position, Revision, Term};
 use model::unit::{Span, Time};
 
--- a/crates/policy/src/read.rs
+++ b/crates/policy/src/read.rs
@@ -7,7 +7,7 @@
 
 use indexmap::IndexMap;
 use model::id::InstanceId;
-use model::place::{Distance, Place};
+use model::location::{Distance, Place};
 use model::position::{Coverage, Point, Term};
 use model::unit::{Span, Time};
 
--- a/crates/policy/src/route.rs
+++ b/crates/policy/src/route.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use model::id::{InstanceId, ProxyId};
-use model::place::Place;
+use model::location::Place;
 use model::position::{Point, Term};
 use model::unit::Span;
 
--- a/crates/policy/src/spec.rs
+++ b/crates/policy/src/spec.rs
@@ -5,7 +5,7 @@
 use indexmap::IndexMap;
 use model::config::Fleet;
 use model::id::{GroupId, InstanceId, ProxyId};
-use model::place::Place;
+use model::location::Place;
 use model::settings::Settings;
 
 /// One instance of the group.
--- a/crates/policy/tests/failover/fake/proxy.rs
+++ b/crates/policy/tests/failover/fake/proxy.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use model::id::ProxyId;
-use model::place::Place;
+use model::location::Place;
 use policy::message::{Action, Audience, Event, Peer, PeerView, Query, StoreAnswer};
 use policy::node::{Input, Node};
 use policy::route::Failure;
--- a/crates/policy/tests/fleet/world.rs
+++ b/crates/policy/tests/fleet/world.rs
@@ -9,9 +9,9 @@
 use model::position::Revision;
 use model::unit::{Span, Time};
 use policy::config_mirror::{Adopter, Delta, Record};
-use policy::member::Member;
-use policy::member::message::{Action, Compare, Failure, Heartbeat, Peer, Tables};
-use policy::member::table::{News, State};
+use policy::membership::Member;
+use policy::membership::message::{Action, Compare, Failure, Heartbeat, Peer, Tables};
+use policy::membership::table::{News, State};
 use rand::rngs::StdRng;
 use rand::{Rng as _, SeedableRng as _};
 
--- a/crates/policy/tests/place.rs
+++ b/crates/policy/tests/placement.rs
@@ -2,9 +2,9 @@
 
 use indexmap::{IndexMap, IndexSet};
 use model::id::GroupId;
-use model::place::Place;
+use model::location::Place;
 use policy::message::Peer;
-use policy::place::{self, Homes, PER_DATA_CENTRE, Route};
+use policy::placement::{self, Homes, PER_DATA_CENTRE, Route};
 
 fn proxy(centre: usize, n: usize) -> Peer {
     Peer {
@@ -38,7 +38,7 @@
 fn today_every_proxy_serves_every_group() {
     let live = fleet(3, 3);
     for me in &live {
-        let route = place::route(&group(1), &homes(&[0, 1, 2]), me, &live);
+        let route = placement::route(&group(1), &homes(&[0, 1, 2]), me, &live);
         assert_eq!(route, Route::Here);
     }
 }
@@ -50,7 +50,7 @@
     let mut shuffled = live.clone();
     shuffled.reverse();
     let names = |live: &[Peer]| -> IndexSet<_> {
-        let servers = place::servers(&group(7), &homes, live);
+        let servers = placement::servers(&group(7), &homes, live);
         servers.into_iter().map(|p| p.id.clone()).collect()
     };
     let mut a = names(&live);
@@ -65,7 +65,7 @@
 fn passed_on_to_the_nearest_server_first() {
     let live = fleet(6, 20);
     let me = proxy(1, 19);
-    let Route::Through(servers) = place::route(&group(7), &homes(&[0, 4]), &me, &live) else {
+    let Route::Through(servers) = placement::route(&group(7), &homes(&[0, 4]), &me, &live) else {
         panic!("a proxy outside the group's data centres serves it");
     };
     let near = servers.iter().map(|p| me.place.distance(&p.place));
@@ -81,7 +81,7 @@
     let me = proxy(5, 0);
     let live = [me.clone()];
     assert_eq!(
-        place::route(&group(1), &homes(&[0, 1]), &me, &live),
+        placement::route(&group(1), &homes(&[0, 1]), &me, &live),
         Route::Here
     );
 }
@@ -91,7 +91,7 @@
     let live = fleet(1, 90);
     let mut load: IndexMap<_, usize> = IndexMap::new();
     for n in 0..3_000 {
-        for server in place::servers(&group(n), &homes(&[0]), &live) {
+        for server in placement::servers(&group(n), &homes(&[0]), &live) {
             *load.entry(server.id.clone()).or_default() += 1;
         }
     }
@@ -109,8 +109,8 @@
     let before = fleet(1, 30);
     let after = &before[1..];
     for n in 0..500 {
-        let old = place::servers(&group(n), &homes(&[0]), &before);
-        let new = place::servers(&group(n), &homes(&[0]), after);
+        let old = placement::servers(&group(n), &homes(&[0]), &before);
+        let new = placement::servers(&group(n), &homes(&[0]), after);
         let kept = old.iter().filter(|p| p.id != before[0].id);
         assert!(kept.into_iter().all(|p| new.contains(p)));
     }
--- a/crates/proxy/src/control.rs
+++ b/crates/proxy/src/control.rs
@@ -12,7 +12,7 @@
 use peer::server::Routes;
 use policy::config_mirror::Record;
 use policy::leadership;
-use policy::member::table::News;
+use policy::membership::table::News;
 use policy::message::{Audience, Peer, PeerView, Versioned};
 
 use crate::config::Config;
--- a/crates/proxy/src/cx.rs
+++ b/crates/proxy/src/cx.rs
@@ -10,7 +10,7 @@
 use indexmap::IndexMap;
 use model::config::{Fleet, Group};
 use model::id::{GroupId, InstanceId, ProxyId};
-use model::place::Place;
+use model::location::Place;
 use model::settings::Settings;
 use model::token;
 use model::unit::Span;
--- a/crates/proxy/src/group.rs
+++ b/crates/proxy/src/group.rs
@@ -14,7 +14,7 @@
 use indexmap::IndexMap;
 use model::config::Fleet;
 use model::id::{GroupId, InstanceId, ProxyId};
-use model::place::Place;
+use model::location::Place;
 use model::position::{Point, Term};
 use model::unit::{Span, Time};
 use policy::decision::Decision;
--- a/crates/proxy/src/http.rs
+++ b/crates/proxy/src/http.rs
@@ -17,7 +17,7 @@
 use http::{StatusCode, header};
 use model::id::GroupId;
 use peer::status::{EXPLAIN, Group, Member, PATH, Status};
-use policy::member::table::{News, State};
+use policy::membership::table::{News, State};
 
 use crate::cx::Cx;
 use crate::member::{self, Nothing, OWN, Own};
--- a/crates/proxy/src/member.rs
+++ b/crates/proxy/src/member.rs
@@ -11,8 +11,8 @@
 use peer::auth::Key;
 use peer::server::{Call, Routes, Traffic};
 use policy::config_mirror::{Delta, Record};
-use policy::member::message::{Compare, Heartbeat, Tables};
-use policy::member::table::News;
+use policy::membership::message::{Compare, Heartbeat, Tables};
+use policy::membership::table::News;
 use policy::message::{Audience, PeerView};
 
 use crate::fleet;
--- a/crates/proxy/src/member/exchange.rs
+++ b/crates/proxy/src/member/exchange.rs
@@ -5,7 +5,7 @@
 
 use peer::client::Error;
 use policy::config_mirror::Delta;
-use policy::member::message::{Compare, Failure, Heartbeat, Peer, Tables};
+use policy::membership::message::{Compare, Failure, Heartbeat, Peer, Tables};
 
 use crate::trace::Tracer;
 
--- a/crates/proxy/src/member/task.rs
+++ b/crates/proxy/src/member/task.rs
@@ -7,9 +7,9 @@
 use model::unit::{Span, Time};
 use peer::server::Call;
 use policy::config_mirror::{Adopter, Change, Delta};
-use policy::member::Member;
-use policy::member::message::{Action, Heartbeat};
-use policy::member::table::{News, State};
+use policy::membership::Member;
+use policy::membership::message::{Action, Heartbeat};
+use policy::membership::table::{News, State};
 use policy::message::{Audience, PeerView};
 
 use super::exchange::{End, Exchanges};
@@ -42,7 +42,7 @@
 
 enum Input {
     Beat(Call<Heartbeat, Heartbeat>),
-    Compare(Call<policy::member::message::Compare, policy::member::message::Tables>),
+    Compare(Call<policy::membership::message::Compare, policy::membership::message::Tables>),
     Fetch(Call<Fetch, Delta>),
     View(Call<PeerView, Nothing>),
     Own(Call<Nothing, Own>),
