--- a/crates/load/src/placement.rs
+++ b/crates/load/src/placement.rs
@@ -5,7 +5,7 @@
 use clap::{ArgMatches, Command};
 use indexmap::IndexMap;
 use model::id::{GroupId, ProxyId};
-use model::location::Place;
+use model::location::Location;
 use policy::message::Peer;
 use policy::placement::{self, Homes};
 
@@ -73,12 +73,12 @@
 fn proxy(centre: usize, n: usize) -> Peer {
     Peer {
         id: format!("proxy-{n}").parse().expect("an identifier"),
-        place: place_of(centre),
+        location: place_of(centre),
     }
 }
 
-fn place_of(centre: usize) -> Place {
-    Place {
+fn place_of(centre: usize) -> Location {
+    Location {
         region: format!("region-{}", centre / REGION)
             .parse()
             .expect("an identifier"),
--- a/crates/model/src/config.rs
+++ b/crates/model/src/config.rs
@@ -5,7 +5,7 @@
 use indexmap::IndexMap;
 
 use crate::id::{CallerId, Class, DataCentre, GroupId, InstanceId, Region};
-use crate::location::Place;
+use crate::location::Location;
 use crate::settings::{Patch, Settings};
 
 /// Shortest reason that an exception may state, in characters.
@@ -215,9 +215,9 @@
     }
 
     /// The place of a data centre, if it is declared.
-    pub fn place(&self, data_centre: &DataCentre) -> Option<Place> {
+    pub fn location(&self, data_centre: &DataCentre) -> Option<Location> {
         let region = self.data_centres.get(data_centre)?.clone();
-        Some(Place {
+        Some(Location {
             region,
             data_centre: data_centre.clone(),
         })
--- a/crates/model/src/location.rs
+++ b/crates/model/src/location.rs
@@ -6,7 +6,7 @@
 #[derive(
     Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, serde::Serialize, serde::Deserialize,
 )]
-pub struct Place {
+pub struct Location {
     /// The region that holds the data centre.
     pub region: id::Region,
     /// The data centre.
@@ -24,7 +24,7 @@
     FarRegion,
 }
 
-impl Place {
+impl Location {
     /// How far away `other` is.
     pub fn distance(&self, other: &Self) -> Distance {
         if self.region != other.region {
--- a/crates/policy/src/failure_detector.rs
+++ b/crates/policy/src/failure_detector.rs
@@ -181,7 +181,7 @@
     /// Whether the peer runs in the primary's data centre.
     fn beside(&self, heard: &Heard) -> bool {
         let primary = self.spec.members.get(self.primary);
-        primary.is_some_and(|m| m.place.data_centre == heard.view.place.data_centre)
+        primary.is_some_and(|m| m.location.data_centre == heard.view.location.data_centre)
     }
 
     /// Replicas that have not heard the primary for `after`, by their own recent word.
--- a/crates/policy/src/group.rs
+++ b/crates/policy/src/group.rs
@@ -341,7 +341,7 @@
         let view = PeerView {
             group: self.spec.group.clone(),
             proxy: self.me.id.clone(),
-            place: self.me.place.clone(),
+            location: self.me.location.clone(),
             term: self.lead.term,
             primary: self.lead.primary.clone(),
             heard: reach.age(self.now),
--- a/crates/policy/src/group/drive.rs
+++ b/crates/policy/src/group/drive.rs
@@ -153,11 +153,11 @@
     pub(super) fn rank(&self) -> u64 {
         let me = Peer {
             id: self.me.id.clone(),
-            place: self.me.place.clone(),
+            location: self.me.location.clone(),
         };
         let primary = self.lead.primary.as_ref();
         let member = primary.and_then(|p| self.spec.members.get(p));
-        let beside = member.map(|m| &m.place.data_centre);
+        let beside = member.map(|m| &m.location.data_centre);
         rank::rank(&self.spec.group, &me, &self.live, beside)
     }
 
--- a/crates/policy/src/group/waiting.rs
+++ b/crates/policy/src/group/waiting.rs
@@ -159,7 +159,7 @@
             now: self.now,
             arrived,
             need,
-            here: &self.me.place,
+            here: &self.me.location,
             spec: &self.spec,
             term: self.lead.term,
             primary: self
@@ -186,7 +186,7 @@
         Some(Target {
             instance: instance.clone(),
             address: member.address,
-            place: member.place.clone(),
+            location: member.location.clone(),
             role: if leads { Role::Primary } else { Role::Replica },
             term: self.lead.term,
             via: None,
--- a/crates/policy/src/message.rs
+++ b/crates/policy/src/message.rs
@@ -1,7 +1,7 @@
 //! Events that a group controller is driven by, and the actions that it asks for.
 
 use model::id::{GroupId, InstanceId, ProxyId};
-use model::location::Place;
+use model::location::Location;
 use model::position::{Point, Position, Revision, Term};
 use model::unit::{Span, Time};
 
@@ -96,7 +96,8 @@
     /// The proxy that speaks.
     pub proxy: ProxyId,
     /// Where it runs.
-    pub place: Place,
+    #[serde(rename = "place")]
+    pub location: Location,
     /// Newest term that it knows to have a primary.
     pub term: Term,
     /// The primary of that term.
@@ -115,7 +116,7 @@
     /// Its id.
     pub id: ProxyId,
     /// Where it runs.
-    pub place: Place,
+    pub location: Location,
 }
 
 /// An input of a group controller.
--- a/crates/policy/src/placement.rs
+++ b/crates/policy/src/placement.rs
@@ -40,7 +40,7 @@
     for home in homes {
         let mut there: Vec<_> = live
             .iter()
-            .filter(|p| p.place.data_centre == *home)
+            .filter(|p| p.location.data_centre == *home)
             .collect();
         if there.len() > PER_DATA_CENTRE {
             there.sort_by_cached_key(|p| Reverse(weight(group, p)));
@@ -69,7 +69,7 @@
     // the connections of one data centre spread over the group's servers.
     let key = |p: &&Peer| {
         let spread = hash::of([me.id.as_str(), group.as_str(), p.id.as_str()]);
-        (me.place.distance(&p.place), spread)
+        (me.location.distance(&p.location), spread)
     };
     servers.sort_by_cached_key(key);
     Route::Through(servers)
--- a/crates/policy/src/rank.rs
+++ b/crates/policy/src/rank.rs
@@ -19,7 +19,7 @@
 /// keeps contention low; the compare-and-swap of the claim keeps two from both leading.
 pub fn rank(group: &GroupId, me: &Peer, live: &[Peer], lost: Option<&DataCentre>) -> u64 {
     let key = |p: &Peer| {
-        let beside = lost == Some(&p.place.data_centre);
+        let beside = lost == Some(&p.location.data_centre);
         let hash = hash::of([group.as_str(), p.id.as_str()]);
         (beside, Reverse(hash), p.id.clone())
     };
--- a/crates/policy/src/read.rs
+++ b/crates/policy/src/read.rs
@@ -7,7 +7,7 @@
 
 use indexmap::IndexMap;
 use model::id::InstanceId;
-use model::location::{Distance, Place};
+use model::location::{Distance, Location};
 use model::position::{Coverage, Point, Term};
 use model::unit::{Span, Time};
 
@@ -72,7 +72,7 @@
     /// What it must see.
     pub need: ReadNeed,
     /// Where this proxy runs.
-    pub here: &'a Place,
+    pub here: &'a Location,
     /// The group.
     pub spec: &'a Spec,
     /// Newest term with a known primary.
@@ -165,7 +165,7 @@
     /// slots and of the link between regions.
     fn cost(&self, id: &InstanceId, member: &Member) -> u64 {
         let load = self.loads.get(id).copied().unwrap_or_default();
-        let (assumed, price) = match self.here.distance(&member.place) {
+        let (assumed, price) = match self.here.distance(&member.location) {
             Distance::SameDataCentre => (1_000, 0),
             Distance::SameRegion => (3_000, 0),
             Distance::FarRegion => (42_000, FAR_COST),
@@ -183,7 +183,7 @@
 
     /// Whether the instance serves reads at a price: the primary, or one in a far region.
     fn is_dear(&self, id: &InstanceId) -> bool {
-        let far = |m: &Member| self.here.distance(&m.place) == Distance::FarRegion;
+        let far = |m: &Member| self.here.distance(&m.location) == Distance::FarRegion;
         self.primary == Some(id) || self.spec.members.get(id).is_some_and(far)
     }
 
--- a/crates/policy/src/route.rs
+++ b/crates/policy/src/route.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use model::id::{InstanceId, ProxyId};
-use model::location::Place;
+use model::location::Location;
 use model::position::{Point, Term};
 use model::unit::Span;
 
@@ -29,7 +29,7 @@
     /// Its address.
     pub address: SocketAddr,
     /// Where it is.
-    pub place: Place,
+    pub location: Location,
     /// Part that it plays.
     pub role: Role,
     /// Term under which the route was chosen.
--- a/crates/policy/src/spec.rs
+++ b/crates/policy/src/spec.rs
@@ -5,7 +5,7 @@
 use indexmap::IndexMap;
 use model::config::Fleet;
 use model::id::{GroupId, InstanceId, ProxyId};
-use model::location::Place;
+use model::location::Location;
 use model::settings::Settings;
 
 /// One instance of the group.
@@ -14,7 +14,7 @@
     /// Address that callers' statements and status questions go to.
     pub address: SocketAddr,
     /// Where it runs.
-    pub place: Place,
+    pub location: Location,
     /// Whether it is being taken out of service.
     pub leaving: bool,
 }
@@ -38,7 +38,7 @@
         for (id, instance) in &declared.instances {
             let member = Member {
                 address: instance.address,
-                place: fleet.place(&instance.data_centre)?,
+                location: fleet.location(&instance.data_centre)?,
                 leaving: instance.leaving,
             };
             members.insert(id.clone(), member);
@@ -62,5 +62,5 @@
     /// Its id.
     pub id: ProxyId,
     /// Where it runs.
-    pub place: Place,
+    pub location: Location,
 }
--- a/crates/policy/tests/failover/fake/proxy.rs
+++ b/crates/policy/tests/failover/fake/proxy.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use model::id::ProxyId;
-use model::location::Place;
+use model::location::Location;
 use policy::message::{Action, Audience, Event, Peer, PeerView, Query, StoreAnswer};
 use policy::node::{Input, Node};
 use policy::route::Failure;
@@ -33,7 +33,7 @@
         let id: ProxyId = format!("p{at}-{start}").parse().unwrap();
         let me = Me {
             id: id.clone(),
-            place: self.place(site),
+            location: self.location(site),
         };
         let proxy = Proxy {
             site,
@@ -80,9 +80,9 @@
         }
     }
 
-    fn place(&self, site: usize) -> Place {
+    fn location(&self, site: usize) -> Location {
         let centre = format!("d{site}").parse().unwrap();
-        self.fleet.place(&centre).unwrap()
+        self.fleet.location(&centre).unwrap()
     }
 
     pub(crate) fn membership(&mut self) {
@@ -90,7 +90,7 @@
         let live: Vec<_> = live
             .map(|p| Peer {
                 id: p.id.clone(),
-                place: self.place(p.site),
+                location: self.location(p.site),
             })
             .collect();
         for at in 0..self.proxies.len() {
--- a/crates/policy/tests/placement.rs
+++ b/crates/policy/tests/placement.rs
@@ -2,14 +2,14 @@
 
 use indexmap::{IndexMap, IndexSet};
 use model::id::GroupId;
-use model::location::Place;
+use model::location::Location;
 use policy::message::Peer;
 use policy::placement::{self, Homes, PER_DATA_CENTRE, Route};
 
 fn proxy(centre: usize, n: usize) -> Peer {
     Peer {
         id: format!("p{centre}-{n}").parse().unwrap(),
-        place: Place {
+        location: Location {
             region: format!("region-{}", centre / 2).parse().unwrap(),
             data_centre: format!("dc-{centre}").parse().unwrap(),
         },
@@ -26,7 +26,7 @@
 fn homes(centres: &[usize]) -> Homes {
     centres
         .iter()
-        .map(|c| proxy(*c, 0).place.data_centre)
+        .map(|c| proxy(*c, 0).location.data_centre)
         .collect()
 }
 
@@ -68,9 +68,12 @@
     let Route::Through(servers) = placement::route(&group(7), &homes(&[0, 4]), &me, &live) else {
         panic!("a proxy outside the group's data centres serves it");
     };
-    let near = servers.iter().map(|p| me.place.distance(&p.place));
+    let near = servers.iter().map(|p| me.location.distance(&p.location));
     assert!(near.is_sorted());
-    assert_eq!(servers[0].place.data_centre, proxy(0, 0).place.data_centre);
+    assert_eq!(
+        servers[0].location.data_centre,
+        proxy(0, 0).location.data_centre
+    );
 }
 
 // A user connects through a proxy whose data centre is cut off from the group's. No
--- a/crates/proxy/src/control.rs
+++ b/crates/proxy/src/control.rs
@@ -184,8 +184,11 @@
 fn peers(cx: &Cx, running: Vec<News>) -> Vec<Peer> {
     let fleet = &cx.fleet.current().fleet;
     let peers = running.into_iter().filter_map(|news| {
-        let place = fleet.place(&news.data_centre)?;
-        Some(Peer { id: news.id, place })
+        let location = fleet.location(&news.data_centre)?;
+        Some(Peer {
+            id: news.id,
+            location,
+        })
     });
     peers.collect()
 }
--- a/crates/proxy/src/cx.rs
+++ b/crates/proxy/src/cx.rs
@@ -10,7 +10,7 @@
 use indexmap::IndexMap;
 use model::config::{Fleet, Group};
 use model::id::{GroupId, InstanceId, ProxyId};
-use model::location::Place;
+use model::location::Location;
 use model::settings::Settings;
 use model::token;
 use model::unit::Span;
@@ -130,12 +130,12 @@
     }
 
     fn start_group(&self, id: &GroupId, spec: &Group, fleet: &Arc<Fleet>) -> Option<GroupCx> {
-        let place: Place = fleet.place(&self.cfg.data_centre)?;
+        let location: Location = fleet.location(&self.cfg.data_centre)?;
         let routes = group::spawn(group::Setup {
             admit: self.admit.clone(),
             group: id.clone(),
             me: self.me.clone(),
-            place,
+            location,
             address: self.cfg.address,
             fleet: fleet.clone(),
             store: self.store.clone(),
--- a/crates/proxy/src/group.rs
+++ b/crates/proxy/src/group.rs
@@ -14,7 +14,7 @@
 use indexmap::IndexMap;
 use model::config::Fleet;
 use model::id::{GroupId, InstanceId, ProxyId};
-use model::location::Place;
+use model::location::Location;
 use model::position::{Point, Term};
 use model::unit::{Span, Time};
 use policy::decision::Decision;
@@ -80,7 +80,7 @@
     /// This proxy.
     pub me: ProxyId,
     /// Where this proxy runs.
-    pub place: Place,
+    pub location: Location,
     /// Address that outgoing connections are bound to.
     pub address: IpAddr,
     /// Told of the time on the way to each instance.
--- a/crates/proxy/src/group/task.rs
+++ b/crates/proxy/src/group/task.rs
@@ -65,7 +65,7 @@
     let (stores, stored) = flume::unbounded();
     let me = Me {
         id: setup.me.clone(),
-        place: setup.place.clone(),
+        location: setup.location.clone(),
     };
     let now = Time::from_micros(1);
     let mut task = Task {
--- a/crates/proxy/tests/group/bed.rs
+++ b/crates/proxy/tests/group/bed.rs
@@ -38,16 +38,16 @@
         for (at, centre) in spec.data_centres.iter().enumerate() {
             let (tell, outbox) = flume::unbounded();
             let me: ProxyId = format!("p{at}").parse().unwrap();
-            let place = document.place(&centre.name).unwrap();
+            let location = document.location(&centre.name).unwrap();
             peers.push(Peer {
                 id: me.clone(),
-                place: place.clone(),
+                location: location.clone(),
             });
             let url = fleet.store_url(&centre.name).unwrap();
             handles.push(group::spawn(Setup {
                 group: spec.groups[0].clone(),
                 me,
-                place,
+                location,
                 address: IpAddr::from([127, 0, at as u8 + 1, 100]),
                 admit: admit::spawn(policy::admission::Limits {
                     share: policy::slots::Share {
