--- a/crates/front/src/concern.rs
+++ b/crates/front/src/concern.rs
@@ -10,7 +10,7 @@
 use indexmap::IndexMap;
 use model::id::{GroupId, InstanceId, ProxyId};
 use model::unit::{Span, Time};
-use policy::primary_monitor::Doubt;
+use policy::primary_monitor::Suspicion;
 use serde::{Deserialize, Serialize};
 
 /// Time for which a report counts: a few of the pauses between two of them.
@@ -24,7 +24,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Concern {
     /// The doubt about the primary.
-    pub doubt: Option<(InstanceId, Doubt)>,
+    pub doubt: Option<(InstanceId, Suspicion)>,
     /// Whether no replica holds what reads need.
     pub lags: bool,
 }
--- a/crates/front/src/coordinator.rs
+++ b/crates/front/src/coordinator.rs
@@ -16,8 +16,8 @@
 use model::id::{GroupId, InstanceId, ProxyId};
 use model::position::Revision;
 use model::unit::{Span, Time};
-use policy::order_tracker::{Expected, Late, Purpose};
-use policy::quorum::{self, Doubts};
+use policy::order_tracker::{OrderTracker, Purpose, UnexpectedPrimary};
+use policy::quorum::{self, Suspicions};
 use policy::takeover::{Answer, Cause, Token};
 use store::client::Client;
 use store::error::Error;
@@ -91,10 +91,10 @@
 
 /// Which primary of each group is accounted for by this proxy's orders.
 #[derive(Clone, Default)]
-pub struct Accounts(Rc<RefCell<IndexMap<GroupId, Expected>>>);
+pub struct Accounts(Rc<RefCell<IndexMap<GroupId, OrderTracker>>>);
 
 impl Accounts {
-    fn with<T>(&self, group: &GroupId, f: impl FnOnce(&mut Expected) -> T) -> T {
+    fn with<T>(&self, group: &GroupId, f: impl FnOnce(&mut OrderTracker) -> T) -> T {
         f(self.0.borrow_mut().entry(group.clone()).or_default())
     }
 }
@@ -210,7 +210,8 @@
         let told = answer.as_ref().ok().copied();
         self.cx.metrics.ordered(purpose, told);
         if matches!(told, None | Some(Answer::Accepted)) {
-            self.accounts.with(group, |e| e.ordered(purpose, instance));
+            self.accounts
+                .with(group, |e| e.record_order(purpose, instance));
         }
         answer
     }
@@ -221,8 +222,8 @@
             return;
         };
         let holder = Token::first(duty.0);
-        let late = self.accounts.with(group, |e| e.seen(holder, members));
-        if let Some(Late { instance, after }) = late {
+        let late = self.accounts.with(group, |e| e.observe(holder, members));
+        if let Some(UnexpectedPrimary { instance, after }) = late {
             self.cx.metrics.order_late(after);
             tracing::warn!(%group, %instance, ?after, "an instance leads that the last order does not account for");
         }
@@ -264,13 +265,13 @@
             Some((proxy.clone(), instance.clone()))
         });
         self.directory.with(|state| {
-            let doubts = Doubts {
+            let doubts = Suspicions {
                 by: state.doubts(group).chain(reported).collect(),
                 primary: primary.cloned(),
                 settling: self.named.settling(group),
                 holders: state.holders(group) as usize,
             };
-            quorum::doubted(&doubts, |id| state.is_announced(id))
+            quorum::suspected(&doubts, |id| state.is_announced(id))
         })
     }
 
--- a/crates/front/src/group.rs
+++ b/crates/front/src/group.rs
@@ -15,7 +15,7 @@
 use model::position::Point;
 use model::unit::{Span, Time};
 use policy::pool::{self, Action, Ask, Grant, OpenFault, Pool, Refused};
-use policy::primary_monitor::Watch;
+use policy::primary_monitor::PrimaryMonitor;
 use policy::proof::Proof;
 use policy::replica_ack::Replica;
 
@@ -127,7 +127,7 @@
 struct Group {
     id: Rc<GroupId>,
     pool: Pool<Conn, Reply>,
-    watch: Watch,
+    watch: PrimaryMonitor,
     /// Whether this proxy holds connections of its own.
     own: bool,
     /// Whether it is known who holds connections.
@@ -155,7 +155,7 @@
     let task = Group {
         id: id.clone(),
         pool: Pool::new().by_age(Conn::opened),
-        watch: Watch::default(),
+        watch: PrimaryMonitor::default(),
         own: true,
         shared: false,
         ways,
@@ -367,7 +367,7 @@
     fn voice(&self, now: Time) {
         let lags_for = self.pool.lags_for(now);
         let concern = Concern {
-            doubt: self.watch.doubt(now),
+            doubt: self.watch.suspicion(now),
             lags: lags_for.is_some_and(|lags| lags >= LAGS),
         };
         self.board.set_own(&self.id, concern);
--- a/crates/front/src/group/probe.rs
+++ b/crates/front/src/group/probe.rs
@@ -9,7 +9,7 @@
 use model::statement::Code;
 use model::unit::{Span, Time};
 use policy::pool::{Action, OpenFault};
-use policy::primary_monitor::Finding;
+use policy::primary_monitor::ProbeFailure;
 use policy::proof::Proof;
 
 use super::{Group, Message, Reply};
@@ -39,7 +39,7 @@
     conn: Option<Conn>,
     /// Whether the pool lent a connection for the question; otherwise one was opened.
     lent: bool,
-    found: Result<Proof, Finding>,
+    found: Result<Proof, ProbeFailure>,
     /// Whether the question was one of the watch's own.
     asked: bool,
 }
@@ -111,11 +111,11 @@
         }
         match report.found {
             Ok(proof) => self.proved(&id, proof),
-            Err(Finding::Full) => {}
+            Err(ProbeFailure::Full) => {}
             Err(finding) => {
                 self.watch.failed(&id, finding, now);
                 self.disproved(&id, cause(finding));
-                if finding != Finding::Follows {
+                if finding != ProbeFailure::Follows {
                     self.pool.rest(&id, now + REST);
                 }
             }
@@ -126,7 +126,7 @@
             (true, false, Some(conn)) => self.pool.opened(&id, Ok(conn), now),
             (true, false, None) => {
                 let fault = match report.found {
-                    Err(Finding::Full) => OpenFault::Full,
+                    Err(ProbeFailure::Full) => OpenFault::Full,
                     _ => OpenFault::Unreachable,
                 };
                 self.pool.opened(&id, Err(fault), now)
@@ -135,12 +135,12 @@
     }
 }
 
-const fn cause(finding: Finding) -> &'static str {
+const fn cause(finding: ProbeFailure) -> &'static str {
     match finding {
-        Finding::Down => "it is not there",
-        Finding::Follows => "it says that it does not lead",
-        Finding::Silent => "it does not answer",
-        Finding::Full => "it has no connection left",
+        ProbeFailure::Down => "it is not there",
+        ProbeFailure::Follows => "it says that it does not lead",
+        ProbeFailure::Silent => "it does not answer",
+        ProbeFailure::Full => "it has no connection left",
     }
 }
 
@@ -156,7 +156,7 @@
     /// Asks on an open connection and, if no answer comes soon, on a new one as well: an
     /// open connection can go silent for good while new ones work. Gives back a
     /// connection that can be used further in place of the one that was lent.
-    async fn put(&self, conn: Option<Conn>) -> (Result<Proof, Finding>, Option<Conn>) {
+    async fn put(&self, conn: Option<Conn>) -> (Result<Proof, ProbeFailure>, Option<Conn>) {
         let Some(mut open) = conn else {
             return self.on_new().await;
         };
@@ -170,7 +170,7 @@
             futures_util::pin_mut!(old, new);
             futures_util::select_biased! {
                 found = old => match found {
-                    Err(Finding::Silent | Finding::Down) => Err(new.await),
+                    Err(ProbeFailure::Silent | ProbeFailure::Down) => Err(new.await),
                     found => Ok(found),
                 },
                 other = new => Err(other),
@@ -182,13 +182,13 @@
         }
     }
 
-    async fn on_new(&self) -> (Result<Proof, Finding>, Option<Conn>) {
+    async fn on_new(&self) -> (Result<Proof, ProbeFailure>, Option<Conn>) {
         let opened = Conn::open(self.address, &self.group, &self.id, NEW_LIMIT).await;
         self.metrics.opened(opened.is_ok());
         match opened {
             Ok(mut open) => {
                 let found = ask(&mut open, LIMIT).await;
-                let well = !matches!(found, Err(Finding::Silent | Finding::Down));
+                let well = !matches!(found, Err(ProbeFailure::Silent | ProbeFailure::Down));
                 if well {
                     return (found, Some(open));
                 }
@@ -203,15 +203,15 @@
     }
 }
 
-fn finding(e: &ConnError) -> Finding {
+fn finding(e: &ConnError) -> ProbeFailure {
     match e {
-        ConnError::Refused(Code::TooManyConnections) => Finding::Full,
-        ConnError::Silent => Finding::Silent,
-        ConnError::Stream(_) | ConnError::Refused(_) | ConnError::Line(_) => Finding::Down,
+        ConnError::Refused(Code::TooManyConnections) => ProbeFailure::Full,
+        ConnError::Silent => ProbeFailure::Silent,
+        ConnError::Stream(_) | ConnError::Refused(_) | ConnError::Line(_) => ProbeFailure::Down,
     }
 }
 
-async fn ask(conn: &mut Conn, limit: Duration) -> Result<Proof, Finding> {
+async fn ask(conn: &mut Conn, limit: Duration) -> Result<Proof, ProbeFailure> {
     let setup = Setup {
         values: None,
         shape: None,
@@ -220,11 +220,11 @@
     };
     let asked = clock::now();
     match conn.set_up(setup, limit).await {
-        Ok(Setting::Ready) => conn.take_proof().ok_or(Finding::Down),
-        Ok(Setting::Refused(Code::ReadOnly)) => Err(Finding::Follows),
+        Ok(Setting::Ready) => conn.take_proof().ok_or(ProbeFailure::Down),
+        Ok(Setting::Refused(Code::ReadOnly)) => Err(ProbeFailure::Follows),
         Ok(Setting::Refused(code)) => {
             tracing::info!(?code, asked = %asked, "a question to an instance was refused");
-            Err(Finding::Down)
+            Err(ProbeFailure::Down)
         }
         Err(e) => {
             tracing::info!(cause = %e, asked = %asked, "a question to an instance failed");
--- a/crates/front/src/member.rs
+++ b/crates/front/src/member.rs
@@ -140,7 +140,7 @@
         &self,
         client: &Client,
         group: &GroupId,
-        doubt: Option<(InstanceId, policy::primary_monitor::Doubt)>,
+        doubt: Option<(InstanceId, policy::primary_monitor::Suspicion)>,
         lease: LeaseId,
     ) -> Result<(), Error> {
         let told = self.doubts.borrow().get(group).cloned();
--- a/crates/front/tests/report.rs
+++ b/crates/front/tests/report.rs
@@ -13,7 +13,7 @@
 use indexmap::IndexMap;
 use model::id::{GroupId, InstanceId, ProxyId};
 use model::unit::Span;
-use policy::primary_monitor::Doubt;
+use policy::primary_monitor::Suspicion;
 
 fn group() -> GroupId {
     "ledger".parse().unwrap()
@@ -26,7 +26,7 @@
 fn doubt() -> Concerns {
     let instance: InstanceId = "i-1".parse().unwrap();
     let concern = Concern {
-        doubt: Some((instance, Doubt::Unreachable)),
+        doubt: Some((instance, Suspicion::Unreachable)),
         lags: false,
     };
     [(group(), concern)].into_iter().collect()
--- a/crates/model/src/config.rs
+++ b/crates/model/src/config.rs
@@ -167,7 +167,7 @@
 
 impl Problem {
     /// What an operator can do about it.
-    pub fn mend(&self) -> &'static str {
+    pub fn hint(&self) -> &'static str {
         match self {
             Self::UnknownDataCentre(_) => "declare it under data_centres, or correct the name",
             Self::UnknownGroup(_) => "declare it under groups, or correct the name",
@@ -199,7 +199,7 @@
             "{}: {} ({})",
             self.path.join("."),
             self.problem,
-            self.problem.mend()
+            self.problem.hint()
         )
     }
 }
--- a/crates/model/src/source.rs
+++ b/crates/model/src/source.rs
@@ -33,13 +33,13 @@
 
 impl Fault {
     /// What an operator can do about it.
-    pub fn mend(&self) -> &'static str {
+    pub fn hint(&self) -> &'static str {
         match self {
             Self::Syntax(_) => "correct the JSON at this place",
             Self::Shape(e) if is_unknown_key(e) => "correct the name of the key, or remove it",
             Self::Shape(e) if e.to_string().starts_with("missing field") => "add the missing key",
             Self::Shape(_) => "write the value in the expected form",
-            Self::Rule(problem) => problem.mend(),
+            Self::Rule(problem) => problem.hint(),
         }
     }
 }
@@ -71,7 +71,7 @@
 
 impl Diagnostic for Located {
     fn help<'a>(&'a self) -> Option<Box<dyn fmt::Display + 'a>> {
-        Some(Box::new(self.fault.mend()))
+        Some(Box::new(self.fault.hint()))
     }
 
     fn labels(&self) -> Option<Box<dyn Iterator<Item = LabeledSpan> + '_>> {
--- a/crates/policy/src/decision.rs
+++ b/crates/policy/src/decision.rs
@@ -82,7 +82,8 @@
 #[serde(rename_all = "snake_case")]
 pub enum What {
     /// The primary does not answer; evidence is being gathered.
-    Doubt(InstanceId),
+    #[serde(rename = "doubt")]
+    Suspected(InstanceId),
     /// The doubted primary answered again.
     Cleared(InstanceId),
     /// Requests go through a peer that still reaches the primary.
--- a/crates/policy/src/group/drive.rs
+++ b/crates/policy/src/group/drive.rs
@@ -107,7 +107,7 @@
         let trace = self.change.trace;
         let what = match &verdict {
             Verdict::Healthy => What::Cleared(primary.clone()),
-            Verdict::Doubt => What::Doubt(primary.clone()),
+            Verdict::Doubt => What::Suspected(primary.clone()),
             Verdict::Forward(peer) => What::Forward(peer.clone()),
             Verdict::Replace(cause) => What::Replace(primary.clone(), *cause),
         };
--- a/crates/policy/src/order_tracker.rs
+++ b/crates/policy/src/order_tracker.rs
@@ -16,7 +16,7 @@
 
 /// A primary that the last order does not account for.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Late {
+pub struct UnexpectedPrimary {
     /// The instance that leads.
     pub instance: InstanceId,
     /// What the last order was for, if this holder gave one.
@@ -28,7 +28,7 @@
 /// An order that is carried out late, after the next one was given or by an earlier holder,
 /// shows only in the instance that leads and its term.
 #[derive(Clone, Debug, Default)]
-pub struct Expected {
+pub struct OrderTracker {
     /// First token of the holder; a holder knows nothing of the orders of others.
     holder: Token,
     /// Term of the newest primary that a look found; before that, the newest term at all.
@@ -40,16 +40,16 @@
     last: Option<(Purpose, InstanceId)>,
 }
 
-impl Expected {
+impl OrderTracker {
     /// An order was given that may be carried out.
-    pub fn ordered(&mut self, purpose: Purpose, instance: &InstanceId) {
+    pub fn record_order(&mut self, purpose: Purpose, instance: &InstanceId) {
         self.begun = true;
         self.last = Some((purpose, instance.clone()));
     }
 
     /// A look at the instances. Gives a primary of a new term that the last order did not
     /// name, or that came after an order that changes no term. Each is given once.
-    pub fn seen(&mut self, holder: Token, members: &[Member]) -> Option<Late> {
+    pub fn observe(&mut self, holder: Token, members: &[Member]) -> Option<UnexpectedPrimary> {
         if self.holder != holder {
             *self = Self {
                 holder,
@@ -73,6 +73,6 @@
             last => last.as_ref().map(|(purpose, _)| *purpose),
         };
         let instance = leader.id.clone();
-        Some(Late { instance, after })
+        Some(UnexpectedPrimary { instance, after })
     }
 }
--- a/crates/policy/src/primary_monitor.rs
+++ b/crates/policy/src/primary_monitor.rs
@@ -45,7 +45,7 @@
 
 /// Why the primary is doubted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub enum Doubt {
+pub enum Suspicion {
     /// It does not answer, or does not lead.
     Unreachable,
     /// It answers, and writes on it do not end.
@@ -54,7 +54,7 @@
 
 /// What an instance answered when asked whether it leads.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Finding {
+pub enum ProbeFailure {
     /// It does not lead.
     Follows,
     /// No answer came in time, neither on an open connection nor on a new one.
@@ -74,7 +74,7 @@
 
 /// The watch over one group.
 #[derive(Clone, Debug, Default)]
-pub struct Watch {
+pub struct PrimaryMonitor {
     candidates: IndexMap<InstanceId, Candidate>,
     /// The instance that proved last that it leads.
     leader: Option<InstanceId>,
@@ -90,7 +90,7 @@
     expected: Option<InstanceId>,
 }
 
-impl Watch {
+impl PrimaryMonitor {
     /// Takes over the announced instances.
     pub fn set_entries(&mut self, entries: &[Entry]) {
         self.candidates
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Whom to ask now; each of them is asked until [`Watch::answered`].
+    /// Whom to ask now; each of them is asked until [`PrimaryMonitor::answered`].
     pub fn ask(
         &mut self,
         primary: Option<&InstanceId>,
@@ -180,8 +180,8 @@
     }
 
     /// The instance did not prove it.
-    pub fn failed(&mut self, id: &InstanceId, finding: Finding, now: Time) {
-        if finding == Finding::Full {
+    pub fn failed(&mut self, id: &InstanceId, finding: ProbeFailure, now: Time) {
+        if finding == ProbeFailure::Full {
             return;
         }
         let doubtful = match &self.leader {
@@ -189,11 +189,15 @@
             None => self.candidates.get(id).is_some_and(|c| c.claims),
         };
         if doubtful {
-            self.failures += if finding == Finding::Silent { 2 } else { 1 };
+            self.failures += if finding == ProbeFailure::Silent {
+                2
+            } else {
+                1
+            };
             self.failing_since.get_or_insert(now);
             self.failed_at = now;
         }
-        if finding == Finding::Follows {
+        if finding == ProbeFailure::Follows {
             self.expected.take_if(|e| e == id);
         }
     }
@@ -233,7 +237,7 @@
     /// A proxy without connections of its own looks only while somebody waits. Load: a group
     /// changes back to an instance that such a proxy found lost earlier. Harm without an end
     /// of its doubt: the instance is replaced again and again although it is well.
-    pub fn doubt(&self, now: Time) -> Option<(InstanceId, Doubt)> {
+    pub fn suspicion(&self, now: Time) -> Option<(InstanceId, Suspicion)> {
         let claims = || {
             let claims = self.candidates.iter().find(|(_, c)| c.claims);
             claims.map(|(id, _)| id.clone())
@@ -244,9 +248,9 @@
             .is_some_and(|at| now.since(at) >= FAILING);
         let fresh = now.since(self.failed_at) <= FAILURE_KEPT;
         if failing && fresh && self.failures >= FAILURES {
-            return Some((suspect, Doubt::Unreachable));
+            return Some((suspect, Suspicion::Unreachable));
         }
         let stalled = self.stalls >= STALLS && now.since(self.stalled_at) <= STALL_KEPT;
-        stalled.then_some((suspect, Doubt::Stalled))
+        stalled.then_some((suspect, Suspicion::Stalled))
     }
 }
--- a/crates/policy/src/quorum.rs
+++ b/crates/policy/src/quorum.rs
@@ -20,7 +20,7 @@
 
 /// Doubts about a group's instances.
 #[derive(Clone, Debug, Default)]
-pub struct Doubts {
+pub struct Suspicions {
     /// The instance that each proxy doubts.
     pub by: IndexMap<ProxyId, InstanceId>,
     /// The instance that proved last that it leads.
@@ -42,7 +42,10 @@
 /// primary back to one that was doubted before. Harm without it: the proxies that have not
 /// heard of the change still doubt it, it is replaced at once, and so on for as long as
 /// changes come faster than the news of them.
-pub fn doubted(doubts: &Doubts, is_announced: impl Fn(&InstanceId) -> bool) -> Option<InstanceId> {
+pub fn suspected(
+    doubts: &Suspicions,
+    is_announced: impl Fn(&InstanceId) -> bool,
+) -> Option<InstanceId> {
     let of = |i: &&InstanceId| doubts.settling.as_ref() != Some(*i);
     let suspect = match &doubts.primary {
         Some(primary) => doubts.by.values().filter(of).find(|i| *i == primary)?,
--- a/crates/policy/tests/primary_monitor.rs
+++ b/crates/policy/tests/primary_monitor.rs
@@ -3,7 +3,7 @@
 use model::entry::Entry;
 use model::id::InstanceId;
 use model::unit::Time;
-use policy::primary_monitor::{Doubt, Finding, Watch};
+use policy::primary_monitor::{PrimaryMonitor, ProbeFailure, Suspicion};
 
 fn id(name: &str) -> InstanceId {
     name.parse().unwrap()
@@ -13,7 +13,7 @@
     Time::from_millis(ms)
 }
 
-fn watch() -> Watch {
+fn watch() -> PrimaryMonitor {
     let entry = |name: &str| Entry {
         id: id(name),
         group: "g".parse().unwrap(),
@@ -24,7 +24,7 @@
         claims_primary: name == "p",
         born: 1,
     };
-    let mut watch = Watch::default();
+    let mut watch = PrimaryMonitor::default();
     watch.set_entries(&[entry("p"), entry("a")]);
     watch.proved(&id("p"), at(0));
     watch
@@ -35,9 +35,12 @@
 #[test]
 fn a_silent_primary_is_doubted() {
     let mut watch = watch();
-    watch.failed(&id("p"), Finding::Silent, at(600));
-    assert_eq!(watch.doubt(at(700)), None);
-    assert_eq!(watch.doubt(at(850)), Some((id("p"), Doubt::Unreachable)));
+    watch.failed(&id("p"), ProbeFailure::Silent, at(600));
+    assert_eq!(watch.suspicion(at(700)), None);
+    assert_eq!(
+        watch.suspicion(at(850)),
+        Some((id("p"), Suspicion::Unreachable))
+    );
 }
 
 /// All connections of a proxy are reset at once. The primary is well, and the next
@@ -46,9 +49,9 @@
 fn a_reset_is_no_doubt() {
     let mut watch = watch();
     watch.suspect(&id("p"), at(600));
-    watch.failed(&id("p"), Finding::Down, at(601));
+    watch.failed(&id("p"), ProbeFailure::Down, at(601));
     watch.proved(&id("p"), at(640));
-    assert_eq!(watch.doubt(at(1_000)), None);
+    assert_eq!(watch.suspicion(at(1_000)), None);
 }
 
 /// Under load the primary accepts no further connection. It lives, so a question that
@@ -57,9 +60,9 @@
 fn a_full_primary_is_no_doubt() {
     let mut watch = watch();
     for ms in [600, 700, 800, 900] {
-        watch.failed(&id("p"), Finding::Full, at(ms));
+        watch.failed(&id("p"), ProbeFailure::Full, at(ms));
     }
-    assert_eq!(watch.doubt(at(2_000)), None);
+    assert_eq!(watch.suspicion(at(2_000)), None);
 }
 
 /// A primary is cut off from its replicas. It answers questions and leads, but no write
@@ -69,12 +72,15 @@
 fn writes_that_do_not_end_are_a_doubt() {
     let mut watch = watch();
     watch.stalled(&id("p"), at(2_400));
-    assert_eq!(watch.doubt(at(2_450)), None);
+    assert_eq!(watch.suspicion(at(2_450)), None);
     watch.stalled(&id("p"), at(2_500));
     watch.proved(&id("p"), at(2_550));
-    assert_eq!(watch.doubt(at(2_600)), Some((id("p"), Doubt::Stalled)));
+    assert_eq!(
+        watch.suspicion(at(2_600)),
+        Some((id("p"), Suspicion::Stalled))
+    );
     watch.wrote(&id("p"));
-    assert_eq!(watch.doubt(at(2_650)), None);
+    assert_eq!(watch.suspicion(at(2_650)), None);
 }
 
 /// A new primary leads, and its replicas roll back for a moment. Writes stall; replacing
@@ -85,7 +91,7 @@
     watch.proved(&id("a"), at(5_000));
     watch.stalled(&id("a"), at(5_600));
     watch.stalled(&id("a"), at(5_700));
-    assert_eq!(watch.doubt(at(5_800)), None);
+    assert_eq!(watch.suspicion(at(5_800)), None);
 }
 
 /// An answer that was asked for before the failure arrives after it. It says nothing
@@ -93,9 +99,12 @@
 #[test]
 fn an_earlier_answer_does_not_clear_a_doubt() {
     let mut watch = watch();
-    watch.failed(&id("p"), Finding::Silent, at(600));
+    watch.failed(&id("p"), ProbeFailure::Silent, at(600));
     watch.proved(&id("p"), at(590));
-    assert_eq!(watch.doubt(at(900)), Some((id("p"), Doubt::Unreachable)));
+    assert_eq!(
+        watch.suspicion(at(900)),
+        Some((id("p"), Suspicion::Unreachable))
+    );
 }
 
 /// Without a primary all instances are asked, so that a new one is found by whichever
@@ -103,7 +112,7 @@
 #[test]
 fn without_a_primary_all_are_asked() {
     let mut watch = watch();
-    watch.failed(&id("p"), Finding::Silent, at(600));
+    watch.failed(&id("p"), ProbeFailure::Silent, at(600));
     let mut asked = watch.ask(None, Some(at(0)), at(1_100));
     asked.sort();
     assert_eq!(asked, [id("a"), id("p")]);
@@ -130,8 +139,8 @@
 #[test]
 fn a_doubt_ends_when_nobody_looks_any_more() {
     let mut watch = watch();
-    watch.failed(&id("p"), Finding::Silent, at(1_000));
-    assert!(watch.doubt(at(1_300)).is_some());
-    assert!(watch.doubt(at(2_400)).is_some());
-    assert_eq!(watch.doubt(at(2_600)), None);
+    watch.failed(&id("p"), ProbeFailure::Silent, at(1_000));
+    assert!(watch.suspicion(at(1_300)).is_some());
+    assert!(watch.suspicion(at(2_400)).is_some());
+    assert_eq!(watch.suspicion(at(2_600)), None);
 }
--- a/crates/policy/tests/quorum.rs
+++ b/crates/policy/tests/quorum.rs
@@ -2,16 +2,16 @@
 
 use indexmap::IndexMap;
 use model::id::{InstanceId, ProxyId};
-use policy::quorum::{self, Doubts};
+use policy::quorum::{self, Suspicions};
 use test_case::test_case;
 
-fn doubts(of: &[(&str, &str)], primary: Option<&str>, holders: usize) -> Doubts {
+fn doubts(of: &[(&str, &str)], primary: Option<&str>, holders: usize) -> Suspicions {
     let parse = |(proxy, instance): &(&str, &str)| {
         let instance: InstanceId = instance.parse().unwrap();
         (proxy.parse::<ProxyId>().unwrap(), instance)
     };
     let by: IndexMap<_, _> = of.iter().map(parse).collect();
-    Doubts {
+    Suspicions {
         by,
         primary: primary.map(instance),
         settling: None,
@@ -37,7 +37,7 @@
 #[test]
 fn one_proxy_alone_changes_no_announced_primary() {
     let doubts = doubts(&[("a", "p")], Some("p"), 9);
-    assert_eq!(quorum::doubted(&doubts, |_| true), None);
+    assert_eq!(quorum::suspected(&doubts, |_| true), None);
 }
 
 /// A primary is cut off from the store together with most proxies: they cannot tell what
@@ -46,7 +46,7 @@
 #[test]
 fn one_doubt_suffices_about_an_instance_that_is_no_longer_announced() {
     let doubts = doubts(&[("a", "p")], Some("p"), 9);
-    let doubted = quorum::doubted(&doubts, |i| *i != instance("p"));
+    let doubted = quorum::suspected(&doubts, |i| *i != instance("p"));
     assert_eq!(doubted, Some(instance("p")));
 }
 
@@ -56,9 +56,9 @@
 fn late_doubts_do_not_count_against_a_new_primary() {
     let late = [("a", "old"), ("b", "old"), ("c", "old")];
     let known = doubts(&late, Some("new"), 3);
-    assert_eq!(quorum::doubted(&known, |_| true), None);
+    assert_eq!(quorum::suspected(&known, |_| true), None);
     let lost = doubts(&late, None, 3);
-    assert_eq!(quorum::doubted(&lost, |_| true), Some(instance("old")));
+    assert_eq!(quorum::suspected(&lost, |_| true), Some(instance("old")));
 }
 
 /// A group changed its primary twenty times in half a minute: each change went back to an
@@ -67,9 +67,9 @@
 fn an_instance_that_was_just_made_primary_is_not_doubted() {
     let mut doubts = doubts(&[("a", "back"), ("b", "back")], Some("back"), 3);
     doubts.settling = Some(instance("back"));
-    assert_eq!(quorum::doubted(&doubts, |_| true), None);
+    assert_eq!(quorum::suspected(&doubts, |_| true), None);
     doubts.primary = None;
-    assert_eq!(quorum::doubted(&doubts, |_| true), None);
+    assert_eq!(quorum::suspected(&doubts, |_| true), None);
     doubts.settling = None;
-    assert_eq!(quorum::doubted(&doubts, |_| true), Some(instance("back")));
+    assert_eq!(quorum::suspected(&doubts, |_| true), Some(instance("back")));
 }
--- a/crates/proxy/src/group/log.rs
+++ b/crates/proxy/src/group/log.rs
@@ -25,7 +25,7 @@
 
 fn what(what: &What) -> &'static str {
     match what {
-        What::Doubt(_) => "doubt",
+        What::Suspected(_) => "doubt",
         What::Cleared(_) => "cleared",
         What::Forward(_) => "forward",
         What::Replace(..) => "replace",
