--- a/crates/front/src/directory.rs
+++ b/crates/front/src/directory.rs
@@ -15,8 +15,8 @@
 use model::unit::{Span, Time};
 use platform::kv;
 use policy::pooler::Proxy;
-use policy::store_reader::{Neighbours, Source};
-use policy::store_watch::Follow;
+use policy::store_reader::{StoreReaders, Upstream};
+use policy::store_watch::WatchPacing;
 use store::client::Client;
 use store::error::Error;
 use store::kv::{Outcome, Record};
@@ -79,14 +79,14 @@
     state: Rc<RefCell<State>>,
     changed: flume::Sender<()>,
     me: Proxy,
-    follow: Rc<RefCell<Follow>>,
+    follow: Rc<RefCell<WatchPacing>>,
     /// Whom this proxy follows.
-    followed: Rc<RefCell<Neighbours>>,
+    followed: Rc<RefCell<StoreReaders>>,
     /// While news are taken over after an outage: up to when everything had been heard.
     complete_until: Rc<Cell<Option<Time>>>,
     /// Whom it asks about changes of primary: one that is late with large news may still
     /// answer, and one that is late with an answer must still be followed.
-    asked: Rc<RefCell<Neighbours>>,
+    asked: Rc<RefCell<StoreReaders>>,
     coordinates: Rc<dyn Fn(&Directory) -> bool>,
 }
 
@@ -106,7 +106,7 @@
             followed: Rc::default(),
             complete_until: Rc::default(),
             asked: Rc::default(),
-            follow: Rc::new(RefCell::new(Follow::new(Span::from(in_force_within)))),
+            follow: Rc::new(RefCell::new(WatchPacing::new(Span::from(in_force_within)))),
             coordinates: Rc::new(coordinates),
             cx,
             state: Rc::default(),
@@ -264,16 +264,18 @@
     }
 
     /// The neighbour to ask for what the store holds; `None` if this proxy is to ask it.
-    fn reader(&self, neighbours: &RefCell<Neighbours>) -> Option<(ProxyId, SocketAddr)> {
+    fn reader(&self, neighbours: &RefCell<StoreReaders>) -> Option<(ProxyId, SocketAddr)> {
         if (self.coordinates)(self) {
             return None;
         }
         let here = self.with(|s| s.proxies_of(&self.me.data_centre));
         let ids: Vec<_> = here.keys().cloned().collect();
-        let source = neighbours.borrow().source(&self.me.id, &ids, clock::now());
+        let source = neighbours
+            .borrow()
+            .upstream(&self.me.id, &ids, clock::now());
         match source {
-            Source::Neighbour(reader) => here.get(&reader).map(|address| (reader, *address)),
-            Source::Store => None,
+            Upstream::StoreReader(reader) => here.get(&reader).map(|address| (reader, *address)),
+            Upstream::Store => None,
         }
     }
 
@@ -290,7 +292,7 @@
         if news.is_none() {
             tracing::info!(%reader, "a neighbour is passed over: the store is asked itself");
             let mut followed = self.followed.borrow_mut();
-            followed.pass_over(&reader, clock::now());
+            followed.mark_failed(&reader, clock::now());
         }
         news
     }
@@ -304,7 +306,7 @@
                 return Some(Rc::new(noted));
             }
             let mut asked = self.asked.borrow_mut();
-            asked.pass_over(&reader, clock::now());
+            asked.mark_failed(&reader, clock::now());
         }
         None
     }
@@ -322,7 +324,7 @@
         self.hand_out();
         let readers = self.with(State::readers);
         let at_once = (self.coordinates)(self) || self.cx.feed.touch() == Touch::Follows;
-        let pause = self.follow.borrow().gather(readers, at_once);
+        let pause = self.follow.borrow().batch_delay(readers, at_once);
         compio::time::sleep(pause.as_duration()).await;
     }
 
@@ -375,7 +377,7 @@
             proxy: proxy.clone(),
             address: state.relay(proxy).filter(|_| *proxy != self.me.id),
         };
-        let through = placement.plan.through.iter().map(carrier).collect();
+        let through = placement.plan.poolers.iter().map(carrier).collect();
         self.cx.roads.set_through(group, through);
         let address = |peer: &ProxyId| Some((peer.clone(), state.relay(peer)?));
         let peers = placement.peers.iter().filter_map(address).collect();
--- a/crates/front/src/lend.rs
+++ b/crates/front/src/lend.rs
@@ -7,9 +7,9 @@
 use indexmap::IndexMap;
 use model::id::{GroupId, ProxyId};
 use model::unit::Span;
-use policy::fallback::{Detour, Way};
+use policy::fallback::{Fallback, FallbackChoice};
 use policy::pool::{Ask, Reason, Refused};
-use policy::pooler_retry::{Next, Round};
+use policy::pooler_retry::{Next, PoolerAttempts};
 
 use crate::clock;
 use crate::cx::Cx;
@@ -39,7 +39,7 @@
     through: Vec<Carrier>,
     /// Where all other proxies lend connections, the best one first.
     peers: IndexMap<ProxyId, SocketAddr>,
-    detour: Detour,
+    detour: Fallback,
 }
 
 impl Roads {
@@ -62,10 +62,10 @@
         self.with(group, |road| road.through.clone())
     }
 
-    fn way(&self, group: &GroupId) -> Way {
+    fn way(&self, group: &GroupId) -> FallbackChoice {
         self.with(group, |road| {
             let peers: Vec<_> = road.peers.keys().cloned().collect();
-            road.detour.way(&peers, clock::now())
+            road.detour.choose(&peers, clock::now())
         })
     }
 
@@ -88,9 +88,9 @@
         while clock::now() < ask.give_up {
             match self.borrow(group, &ask).await {
                 Ok(end) => return end,
-                Err(Next::Own | Next::Another) => return self.lend_here(group, ask).await,
-                Err(Next::Again(pause)) => compio::time::sleep(pause.as_duration()).await,
-                Err(Next::Detour) => match self.lend_elsewhere(group, &ask).await {
+                Err(Next::OwnPool | Next::NextPooler) => return self.lend_here(group, ask).await,
+                Err(Next::RetryAfter(pause)) => compio::time::sleep(pause.as_duration()).await,
+                Err(Next::Fallback) => match self.lend_elsewhere(group, &ask).await {
                     Some(end) => return end,
                     // Nobody reaches it, so a carrier waits for it on the statement's behalf.
                     None => ask.patient = true,
@@ -104,24 +104,24 @@
     /// request.
     async fn borrow(&self, group: &GroupId, ask: &Ask) -> Result<Result<Lent, Refused>, Next> {
         let mut carriers = self.roads.through(group).into_iter().peekable();
-        let mut round = Round::default();
+        let mut round = PoolerAttempts::default();
         while let Some(carrier) = carriers.next() {
             let Some(address) = carrier.address else {
                 // This proxy itself.
-                return Err(Next::Own);
+                return Err(Next::OwnPool);
             };
             match self.relay.ask(&carrier.proxy, address, group, ask).await {
                 Ok(lent) => return Ok(Ok(lent)),
                 Err(relay::Miss::Refused(refused)) => return Ok(Err(refused)),
                 Err(relay::Miss::Elsewhere(miss)) => {
-                    match round.missed(miss, carriers.peek().is_some()) {
-                        Next::Another => {}
+                    match round.failed(miss, carriers.peek().is_some()) {
+                        Next::NextPooler => {}
                         next => return Err(next),
                     }
                 }
             }
         }
-        Err(Next::Own)
+        Err(Next::OwnPool)
     }
 
     /// Waits for a connection of this proxy, or goes through another one if no instance that
@@ -146,9 +146,9 @@
     /// is asking just now.
     async fn lend_elsewhere(&self, group: &GroupId, ask: &Ask) -> Option<Result<Lent, Refused>> {
         let peers = match self.roads.way(group) {
-            Way::Known(peer) => vec![peer],
-            Way::Search(peers) => peers,
-            Way::None => return None,
+            FallbackChoice::Known(peer) => vec![peer],
+            FallbackChoice::Search(peers) => peers,
+            FallbackChoice::None => return None,
         };
         for peer in peers {
             let Some(address) = self.roads.address(group, &peer) else {
--- a/crates/front/src/relay/client.rs
+++ b/crates/front/src/relay/client.rs
@@ -57,7 +57,7 @@
     /// The statement is refused; another carrier would not do better.
     Refused(Refused),
     /// Another carrier may be asked.
-    Elsewhere(pooler_retry::Miss),
+    Elsewhere(pooler_retry::GrantFailure),
 }
 
 /// Connections to carriers.
@@ -90,7 +90,7 @@
         let now = clock::now();
         let until = self.0.passed_over.borrow().get(carrier).copied();
         if until.is_some_and(|until| now < until) {
-            return Err(Miss::Elsewhere(pooler_retry::Miss::Silent));
+            return Err(Miss::Elsewhere(pooler_retry::GrantFailure::Silent));
         }
         let idle = self.take_idle(carrier);
         let reused = idle.is_some();
@@ -107,7 +107,7 @@
                 let until = clock::now() + PASS_OVER;
                 let mut passed_over = self.0.passed_over.borrow_mut();
                 passed_over.insert(carrier.clone(), until);
-                Miss::Elsewhere(pooler_retry::Miss::Silent)
+                Miss::Elsewhere(pooler_retry::GrantFailure::Silent)
             }
         })
     }
@@ -253,8 +253,8 @@
         group: &GroupId,
         ask: &Ask,
     ) -> Result<Lent, Trouble> {
-        let request =
-            to_wire(group, ask).ok_or(Trouble::Elsewhere(pooler_retry::Miss::OutOfReach))?;
+        let request = to_wire(group, ask)
+            .ok_or(Trouble::Elsewhere(pooler_retry::GrantFailure::Unreachable))?;
         let mut conn = match conn {
             Some(conn) => conn,
             None => connect(address).await.map_err(Trouble::Broken)?,
@@ -298,9 +298,9 @@
     ) -> Result<Lent, Trouble> {
         self.keep(carrier, conn);
         Err(Trouble::Elsewhere(match answer {
-            FromCarrier::Starting => pooler_retry::Miss::Starting,
-            FromCarrier::OutOfReach => pooler_retry::Miss::OutOfReach,
-            _ => pooler_retry::Miss::Stopping,
+            FromCarrier::Starting => pooler_retry::GrantFailure::Starting,
+            FromCarrier::OutOfReach => pooler_retry::GrantFailure::Unreachable,
+            _ => pooler_retry::GrantFailure::Stopping,
         }))
     }
 
@@ -383,7 +383,7 @@
 /// Why one try brought no loan.
 enum Trouble {
     Refused(Refused),
-    Elsewhere(pooler_retry::Miss),
+    Elsewhere(pooler_retry::GrantFailure),
     Broken(ConnError),
 }
 
--- a/crates/policy/src/fallback.rs
+++ b/crates/policy/src/fallback.rs
@@ -22,7 +22,7 @@
 
 /// What a statement does that this proxy cannot serve itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Way {
+pub enum FallbackChoice {
     /// Asks the proxy that served one before.
     Known(ProxyId),
     /// Asks these, one after the other, on behalf of all.
@@ -33,22 +33,22 @@
 
 /// The search for a way to one group.
 #[derive(Clone, Debug, Default)]
-pub struct Detour {
+pub struct Fallback {
     known: Option<ProxyId>,
     searched: Option<Time>,
     /// Proxies asked so far, to go on behind them.
     asked: usize,
 }
 
-impl Detour {
+impl Fallback {
     /// What the next statement does; `peers` are the other proxies, the best one first.
-    pub fn way(&mut self, peers: &[ProxyId], now: Time) -> Way {
+    pub fn choose(&mut self, peers: &[ProxyId], now: Time) -> FallbackChoice {
         if let Some(known) = &self.known {
-            return Way::Known(known.clone());
+            return FallbackChoice::Known(known.clone());
         }
         let early = self.searched.is_some_and(|at| now.since(at) < PAUSE);
         if early || peers.is_empty() {
-            return Way::None;
+            return FallbackChoice::None;
         }
         self.searched = Some(now);
         let first = self.asked % peers.len();
@@ -59,7 +59,7 @@
             .take(ROUND.min(peers.len()));
         let round: Vec<_> = round.cloned().collect();
         self.asked = first + round.len();
-        Way::Search(round)
+        FallbackChoice::Search(round)
     }
 
     /// A proxy served a statement; says whether this is news.
--- a/crates/policy/src/pooler.rs
+++ b/crates/policy/src/pooler.rs
@@ -44,7 +44,7 @@
     pub own: bool,
     /// Proxies of this data centre to go through, the first one first; empty where all
     /// proxies hold their own. Those behind the carriers stand in for them.
-    pub through: Vec<ProxyId>,
+    pub poolers: Vec<ProxyId>,
 }
 
 /// Plans who holds connections to the instances of a group, each of which accepts
@@ -66,7 +66,7 @@
         return Plan {
             holders: count,
             own: true,
-            through: Vec::new(),
+            poolers: Vec::new(),
         };
     }
     let centre_count = u32::try_from(centres.len()).unwrap_or(u32::MAX);
@@ -85,7 +85,7 @@
     Plan {
         holders,
         own: carriers.contains(&&me.id),
-        through: carriers.into_iter().chain(others).cloned().collect(),
+        poolers: carriers.into_iter().chain(others).cloned().collect(),
     }
 }
 
--- a/crates/policy/src/pooler_retry.rs
+++ b/crates/policy/src/pooler_retry.rs
@@ -21,7 +21,7 @@
 
 /// Why a carrier lent nothing, where another one may.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Miss {
+pub enum GrantFailure {
     /// It did not answer.
     Silent,
     /// It stops.
@@ -29,49 +29,49 @@
     /// It does not know the group yet.
     Starting,
     /// It reaches no instance that could serve the request.
-    OutOfReach,
+    Unreachable,
 }
 
 /// What to do next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Next {
     /// Ask the next carrier.
-    Another,
+    NextPooler,
     /// Ask the carriers again, after a pause.
-    Again(Span),
+    RetryAfter(Span),
     /// Ask proxies of other data centres.
-    Detour,
+    Fallback,
     /// Use this proxy's own pool: it is cut off from those that could lend.
-    Own,
+    OwnPool,
 }
 
 /// One round of questions to the carriers of a data centre.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Round {
+pub struct PoolerAttempts {
     asked: u32,
     answers: u32,
     out_of_reach: bool,
 }
 
-impl Round {
+impl PoolerAttempts {
     /// A carrier lent nothing; `more` says whether there is another one.
-    pub fn missed(&mut self, miss: Miss, more: bool) -> Next {
+    pub fn failed(&mut self, miss: GrantFailure, more: bool) -> Next {
         self.asked += 1;
         match miss {
-            Miss::Silent | Miss::Stopping => {}
-            Miss::Starting => self.answers += 1,
-            Miss::OutOfReach => {
+            GrantFailure::Silent | GrantFailure::Stopping => {}
+            GrantFailure::Starting => self.answers += 1,
+            GrantFailure::Unreachable => {
                 self.answers += 1;
                 self.out_of_reach = true;
             }
         }
         if more && self.answers < ANSWERS && self.asked < ASKED {
-            return Next::Another;
+            return Next::NextPooler;
         }
         match (self.out_of_reach, self.answers) {
-            (true, _) => Next::Detour,
-            (false, 0) => Next::Own,
-            (false, _) => Next::Again(PAUSE),
+            (true, _) => Next::Fallback,
+            (false, 0) => Next::OwnPool,
+            (false, _) => Next::RetryAfter(PAUSE),
         }
     }
 }
--- a/crates/policy/src/store_reader.rs
+++ b/crates/policy/src/store_reader.rs
@@ -31,35 +31,35 @@
 
 /// Whom to ask.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Source {
+pub enum Upstream {
     /// The store.
     Store,
     /// A proxy of this data centre that reads it.
-    Neighbour(ProxyId),
+    StoreReader(ProxyId),
 }
 
 /// The readers of one data centre, as one of its proxies finds them.
 #[derive(Clone, Debug, Default)]
-pub struct Neighbours {
+pub struct StoreReaders {
     passed_over: IndexMap<ProxyId, Time>,
 }
 
-impl Neighbours {
+impl StoreReaders {
     /// Whom `me` asks next; `here` are the live proxies of its data centre.
-    pub fn source(&self, me: &ProxyId, here: &[ProxyId], now: Time) -> Source {
+    pub fn upstream(&self, me: &ProxyId, here: &[ProxyId], now: Time) -> Upstream {
         if here.len() <= FEW {
-            return Source::Store;
+            return Upstream::Store;
         }
         let mut ranked: Vec<_> = here.iter().collect();
         rank::sort(RANKED_FOR, &mut ranked);
         let mut before_me = ranked.into_iter().take(FOLLOWED).take_while(|id| *id != me);
         let open = |id: &&ProxyId| self.passed_over.get(*id).is_none_or(|until| *until <= now);
         let reader = before_me.find(open);
-        reader.map_or(Source::Store, |id| Source::Neighbour(id.clone()))
+        reader.map_or(Upstream::Store, |id| Upstream::StoreReader(id.clone()))
     }
 
     /// A reader told nothing: it does not answer, or has lost the store.
-    pub fn pass_over(&mut self, reader: &ProxyId, now: Time) {
+    pub fn mark_failed(&mut self, reader: &ProxyId, now: Time) {
         self.passed_over.retain(|_, until| *until > now);
         self.passed_over.insert(reader.clone(), now + PASS_OVER);
     }
--- a/crates/policy/src/store_watch.rs
+++ b/crates/policy/src/store_watch.rs
@@ -43,7 +43,7 @@
 
 /// The following of one store by one proxy.
 #[derive(Clone, Debug)]
-pub struct Follow {
+pub struct WatchPacing {
     in_force_within: Span,
     /// Wait of the next watch; below the full one after a failure.
     wait: Span,
@@ -51,7 +51,7 @@
     pause: Span,
 }
 
-impl Follow {
+impl WatchPacing {
     /// A proxy that starts; changes must be in force within `in_force_within`.
     pub fn new(in_force_within: Span) -> Self {
         Self {
@@ -83,7 +83,7 @@
 
     /// How long changes are gathered after one was heard, where `readers` proxies read the
     /// store; `at_once` for one that costs the store little.
-    pub fn gather(&self, readers: u32, at_once: bool) -> Span {
+    pub fn batch_delay(&self, readers: u32, at_once: bool) -> Span {
         if at_once {
             return SHORT_GATHER;
         }
--- a/crates/policy/tests/fallback.rs
+++ b/crates/policy/tests/fallback.rs
@@ -2,7 +2,7 @@
 
 use model::id::{GroupId, ProxyId};
 use model::unit::Time;
-use policy::fallback::{self, Detour, Way};
+use policy::fallback::{self, Fallback, FallbackChoice};
 use policy::pooler::Proxy;
 
 fn proxy(name: &str, centre: &str) -> Proxy {
@@ -42,15 +42,15 @@
 #[test]
 fn one_statement_searches_for_all() {
     let peers = ids(&["p1", "p2", "p3", "p4", "p5"]);
-    let mut detour = Detour::default();
+    let mut detour = Fallback::default();
     assert_eq!(
-        detour.way(&peers, at(1_000)),
-        Way::Search(ids(&["p1", "p2", "p3"]))
+        detour.choose(&peers, at(1_000)),
+        FallbackChoice::Search(ids(&["p1", "p2", "p3"]))
     );
-    assert_eq!(detour.way(&peers, at(1_010)), Way::None);
+    assert_eq!(detour.choose(&peers, at(1_010)), FallbackChoice::None);
     assert_eq!(
-        detour.way(&peers, at(1_200)),
-        Way::Search(ids(&["p4", "p5", "p1"]))
+        detour.choose(&peers, at(1_200)),
+        FallbackChoice::Search(ids(&["p4", "p5", "p1"]))
     );
 }
 
@@ -58,21 +58,30 @@
 #[test]
 fn a_way_that_was_found_is_used_until_it_is_lost() {
     let peers = ids(&["p1", "p2"]);
-    let mut detour = Detour::default();
-    detour.way(&peers, at(1_000));
+    let mut detour = Fallback::default();
+    detour.choose(&peers, at(1_000));
     assert!(detour.found(&peers[1]));
     assert!(!detour.found(&peers[1]));
-    assert_eq!(detour.way(&peers, at(1_010)), Way::Known(peers[1].clone()));
+    assert_eq!(
+        detour.choose(&peers, at(1_010)),
+        FallbackChoice::Known(peers[1].clone())
+    );
     detour.lost(&peers[0]);
-    assert_eq!(detour.way(&peers, at(1_020)), Way::Known(peers[1].clone()));
+    assert_eq!(
+        detour.choose(&peers, at(1_020)),
+        FallbackChoice::Known(peers[1].clone())
+    );
     detour.lost(&peers[1]);
     assert_eq!(
-        detour.way(&peers, at(1_200)),
-        Way::Search(ids(&["p1", "p2"]))
+        detour.choose(&peers, at(1_200)),
+        FallbackChoice::Search(ids(&["p1", "p2"]))
     );
 }
 
 #[test]
 fn without_other_proxies_there_is_no_way() {
-    assert_eq!(Detour::default().way(&[], at(1_000)), Way::None);
+    assert_eq!(
+        Fallback::default().choose(&[], at(1_000)),
+        FallbackChoice::None
+    );
 }
--- a/crates/policy/tests/pooler.rs
+++ b/crates/policy/tests/pooler.rs
@@ -22,7 +22,7 @@
 fn with_enough_connections_each_proxy_holds_its_own() {
     let live = fleet(3, 2);
     let plan = plan(&group(0), 34, &live[0], &live);
-    assert!(plan.own && plan.through.is_empty());
+    assert!(plan.own && plan.poolers.is_empty());
     assert_eq!(plan.holders, 6);
 }
 
@@ -34,7 +34,7 @@
     for me in &live {
         let plan = plan(&group(0), 41, me, &live);
         assert_eq!(plan.holders, 6);
-        let carrier = plan.through.first().unwrap();
+        let carrier = plan.poolers.first().unwrap();
         assert_eq!(plan.own, *carrier == me.id);
         let carrier = live.iter().find(|p| p.id == *carrier).unwrap();
         assert_eq!(carrier.data_centre, me.data_centre);
@@ -51,7 +51,7 @@
     for (at, me) in live.iter().enumerate() {
         let plan = plan(&group(0), 108, me, &live);
         assert_eq!(plan.holders, 24);
-        let first = plan.through.first().unwrap().clone();
+        let first = plan.poolers.first().unwrap().clone();
         *asked.entry((at % 6, first)).or_default() += 1;
     }
     assert_eq!(asked.len(), 24);
@@ -77,7 +77,7 @@
     assert_eq!(own.len(), holders as usize);
     for plan in &plans {
         assert_eq!(plan.holders, holders);
-        assert!(own.iter().any(|at| plan.through[0] == live[*at].id));
+        assert!(own.iter().any(|at| plan.poolers[0] == live[*at].id));
     }
 }
 
@@ -87,7 +87,7 @@
 fn a_carrier_that_goes_moves_only_its_own_groups() {
     let live = fleet(2, 12);
     let me = &live[0];
-    let first = |n: usize, live: &[Proxy]| plan(&group(n), 20, me, live).through[0].clone();
+    let first = |n: usize, live: &[Proxy]| plan(&group(n), 20, me, live).poolers[0].clone();
     let before: Vec<_> = (0..40).map(|n| first(n, &live)).collect();
     let gone = before.iter().find(|id| **id != me.id).unwrap().clone();
     let rest: Vec<_> = live.iter().filter(|p| p.id != gone).cloned().collect();
@@ -117,5 +117,5 @@
 fn a_proxy_that_knows_no_other_serves_by_itself() {
     let me = &fleet(1, 1)[0];
     let plan = plan(&group(0), 1, me, &[]);
-    assert!(plan.own && plan.through.is_empty());
+    assert!(plan.own && plan.poolers.is_empty());
 }
--- a/crates/policy/tests/store_reader.rs
+++ b/crates/policy/tests/store_reader.rs
@@ -2,7 +2,7 @@
 
 use model::id::ProxyId;
 use model::unit::{Span, Time};
-use policy::store_reader::{self, Neighbours, Source};
+use policy::store_reader::{self, StoreReaders, Upstream};
 use test_case::test_case;
 
 fn fleet(size: usize) -> Vec<ProxyId> {
@@ -33,7 +33,8 @@
 #[test_case(5, 92; "2200 proxies in 24 data centres")]
 fn a_change_fills_the_link_for_a_moment_only(data_centres: usize, proxies: usize) {
     let here = fleet(proxies);
-    let reads = |me: &&ProxyId| Neighbours::default().source(me, &here, at(0)) == Source::Store;
+    let reads =
+        |me: &&ProxyId| StoreReaders::default().upstream(me, &here, at(0)) == Upstream::Store;
     let readers = here.iter().filter(reads).count() * data_centres;
     assert_eq!(store_reader::readers(proxies) * data_centres, readers);
     let full_ms = readers * CONFIGURATION * 1_000 / LINK;
@@ -45,18 +46,19 @@
 #[test]
 fn who_follows_a_lost_reader_goes_on_without_it() {
     let here = fleet(11);
-    let follows = |me: &&ProxyId| Neighbours::default().source(me, &here, at(0)) != Source::Store;
+    let follows =
+        |me: &&ProxyId| StoreReaders::default().upstream(me, &here, at(0)) != Upstream::Store;
     for me in here.iter().filter(follows) {
-        let mut neighbours = Neighbours::default();
+        let mut neighbours = StoreReaders::default();
         let mut asked = Vec::new();
-        while let Source::Neighbour(reader) = neighbours.source(me, &here, at(0)) {
+        while let Upstream::StoreReader(reader) = neighbours.upstream(me, &here, at(0)) {
             assert!(!asked.contains(&reader) && reader != *me);
-            neighbours.pass_over(&reader, at(0));
+            neighbours.mark_failed(&reader, at(0));
             asked.push(reader);
         }
         assert!((1..=2).contains(&asked.len()));
         let later = at(0) + Span::from_millis(10_000);
-        assert_ne!(neighbours.source(me, &here, later), Source::Store);
+        assert_ne!(neighbours.upstream(me, &here, later), Upstream::Store);
     }
 }
 
@@ -65,11 +67,11 @@
 #[test]
 fn nobody_follows_in_a_circle() {
     let here = fleet(11);
-    let source = |me: &ProxyId| Neighbours::default().source(me, &here, at(0));
+    let upstream = |me: &ProxyId| StoreReaders::default().upstream(me, &here, at(0));
     for me in &here {
         let mut next = me.clone();
         let mut steps = 0;
-        while let Source::Neighbour(reader) = source(&next) {
+        while let Upstream::StoreReader(reader) = upstream(&next) {
             next = reader;
             steps += 1;
         }
@@ -81,5 +83,8 @@
 #[test]
 fn a_proxy_alone_reads_the_store() {
     let me = fleet(1).remove(0);
-    assert_eq!(Neighbours::default().source(&me, &[], at(0)), Source::Store);
+    assert_eq!(
+        StoreReaders::default().upstream(&me, &[], at(0)),
+        Upstream::Store
+    );
 }
--- a/crates/policy/tests/store_watch.rs
+++ b/crates/policy/tests/store_watch.rs
@@ -1,7 +1,7 @@
 //! Following the store, in virtual time: when a change is in force.
 
 use model::unit::{Span, Time};
-use policy::store_watch::Follow;
+use policy::store_watch::WatchPacing;
 use rand::SeedableRng as _;
 use rand::rngs::StdRng;
 use test_case::test_case;
@@ -27,7 +27,13 @@
 
 /// When a change at `changed` is in force for a proxy that opened its watch at `opened`
 /// and has heard nothing wrong before.
-fn in_force(follow: &mut Follow, opened: Time, changed: Time, outage: Outage, seed: u64) -> Time {
+fn in_force(
+    follow: &mut WatchPacing,
+    opened: Time,
+    changed: Time,
+    outage: Outage,
+    seed: u64,
+) -> Time {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut at = opened;
     loop {
@@ -62,7 +68,7 @@
             cut,
             dropped: cut + ms(seed * 3 % 400),
         };
-        let mut follow = Follow::new(ms(bound));
+        let mut follow = WatchPacing::new(ms(bound));
         let at = in_force(&mut follow, opened, changed, outage, seed);
         let took = at.since(changed);
         assert!(took < ms(bound), "{took} with {outage:?}, opened {opened}");
@@ -77,8 +83,8 @@
 #[test_case(6_000, 69; "a large fleet")]
 #[test_case(9_000, 2_200; "a fleet of thousands")]
 fn a_silent_watch_is_given_up_in_time(bound: u64, proxies: u32) {
-    let mut follow = Follow::new(ms(bound));
-    let gathered = follow.gather(proxies, false);
+    let mut follow = WatchPacing::new(ms(bound));
+    let gathered = follow.batch_delay(proxies, false);
     let given_up = gathered + follow.wait() + SLACK;
     let again = follow.failed(&mut StdRng::seed_from_u64(1));
     let took = given_up + again + ROUND_TRIP;
@@ -89,7 +95,7 @@
 /// costs the operators a call.
 #[test]
 fn watches_grow_long_again() {
-    let mut follow = Follow::new(ms(6_000));
+    let mut follow = WatchPacing::new(ms(6_000));
     let full = follow.wait();
     follow.failed(&mut StdRng::seed_from_u64(1));
     assert!(follow.wait() < ms(500));
@@ -104,9 +110,9 @@
 #[test]
 fn failed_calls_come_back_spread_and_ever_later() {
     let mut rng = StdRng::seed_from_u64(7);
-    let mut follow = Follow::new(ms(6_000));
+    let mut follow = WatchPacing::new(ms(6_000));
     let pauses: Vec<_> = (0..6).map(|_| follow.failed(&mut rng)).collect();
     assert!(pauses[0] <= ms(50) && pauses[5] >= ms(200) && pauses[5] <= ms(400));
-    let first = |seed| Follow::new(ms(6_000)).failed(&mut StdRng::seed_from_u64(seed));
+    let first = |seed| WatchPacing::new(ms(6_000)).failed(&mut StdRng::seed_from_u64(seed));
     assert_ne!(first(1), first(2));
 }
