--- a/crates/front/src/directory.rs
+++ b/crates/front/src/directory.rs
@@ -20,7 +20,7 @@
 use store::client::Client;
 use store::error::Error;
 use store::kv::{Outcome, Record};
-use store::mirror::News;
+use store::mirror::Update;
 
 use crate::changes::{self, Changes};
 use crate::clock;
@@ -228,7 +228,7 @@
         client: &Client,
         known: &mut Known,
         first_start: bool,
-    ) -> Result<News, Error> {
+    ) -> Result<Update, Error> {
         if *known == Known::Nothing {
             self.meet_others(client, first_start).await?;
             *known = Known::Others;
@@ -241,9 +241,9 @@
         let news = if *known == Known::All {
             let after = self.state.borrow().revision();
             let wait = self.follow.borrow().wait();
-            News::Changes(kv::watch(client, "", after, wait.as_duration()).await?)
+            Update::Changes(kv::watch(client, "", after, wait.as_duration()).await?)
         } else {
-            News::Listing(kv::list(client, "").await?)
+            Update::Listing(kv::list(client, "").await?)
         };
         *known = Known::All;
         self.cx.feed.set_touch(Touch::Reads);
@@ -280,7 +280,7 @@
     }
 
     /// What a neighbour tells; `None` if this proxy is to ask the store.
-    async fn hear_neighbour(&self, known: Known) -> Option<News> {
+    async fn hear_neighbour(&self, known: Known) -> Option<Update> {
         let (reader, address) = self.reader(&self.followed)?;
         let (after, wait) = match known {
             Known::All => (self.with(State::revision), self.follow.borrow().wait()),
@@ -312,14 +312,14 @@
     }
 
     /// Takes news over, and gathers what comes next.
-    async fn take(&self, news: News) {
-        if matches!(&news, News::Changes(batch) if batch.changes.is_empty()) {
+    async fn take(&self, news: Update) {
+        if matches!(&news, Update::Changes(batch) if batch.changes.is_empty()) {
             return;
         }
         self.cx.feed.take(&news);
         match news {
-            News::Listing(listing) => self.state.borrow_mut().replace(listing, clock::now()),
-            News::Changes(batch) => self.state.borrow_mut().apply(batch, clock::now()),
+            Update::Listing(listing) => self.state.borrow_mut().replace(listing, clock::now()),
+            Update::Changes(batch) => self.state.borrow_mut().apply(batch, clock::now()),
         }
         self.hand_out();
         let readers = self.with(State::readers);
--- a/crates/front/src/feed.rs
+++ b/crates/front/src/feed.rs
@@ -11,7 +11,7 @@
 use serde::{Deserialize, Serialize};
 use serde_with::base64::Base64;
 use serde_with::serde_as;
-use store::mirror::{Mirror, News};
+use store::mirror::{Mirror, Update};
 
 use crate::clock;
 
@@ -58,14 +58,14 @@
 
 impl Packed {
     /// Packs news.
-    pub fn new(news: &News) -> Result<Self, PackError> {
+    pub fn new(news: &Update) -> Result<Self, PackError> {
         let mut encoder = DeflateEncoder::new(Vec::new(), Compression::fast());
         encoder.write_all(&rmp_serde::to_vec(news)?)?;
         Ok(Self(encoder.finish()?))
     }
 
     /// Unpacks them.
-    pub fn unpack(&self) -> Result<News, PackError> {
+    pub fn unpack(&self) -> Result<Update, PackError> {
         let mut body = Vec::new();
         let mut decoder = DeflateDecoder::new(self.0.as_slice()).take(MAX_UNPACKED);
         decoder.read_to_end(&mut body)?;
@@ -86,7 +86,7 @@
 
 impl Feed {
     /// Takes news over.
-    pub fn take(&self, news: &News) {
+    pub fn take(&self, news: &Update) {
         self.mirror.borrow_mut().take(news);
         self.wake();
     }
@@ -134,7 +134,8 @@
                 Touch::Starting => {}
                 Touch::Reads => {
                     let news = self.mirror.borrow().since(after);
-                    let nothing = matches!(&news, News::Changes(batch) if batch.changes.is_empty());
+                    let nothing =
+                        matches!(&news, Update::Changes(batch) if batch.changes.is_empty());
                     if over || !nothing {
                         return self.pack(after, &news);
                     }
@@ -144,7 +145,7 @@
         }
     }
 
-    fn pack(&self, after: Revision, news: &News) -> Option<Packed> {
+    fn pack(&self, after: Revision, news: &Update) -> Option<Packed> {
         let of = (after, news.revision());
         let known = self.packed.borrow().clone();
         if let Some((from, to, packed)) = known
--- a/crates/front/src/member.rs
+++ b/crates/front/src/member.rs
@@ -77,9 +77,13 @@
         client: Client,
         least: Duration,
     ) {
-        let client = client.counted_for(Purpose::Place);
+        let client = client.counted_for(Purpose::Registration);
         let duty = self.duty.clone();
-        let keep_duty = duty.keep(directory.clone(), client.counted_for(Purpose::Duty), least);
+        let keep_duty = duty.keep(
+            directory.clone(),
+            client.counted_for(Purpose::CoordinatorRole),
+            least,
+        );
         compio::runtime::spawn(keep_duty).detach();
         let report = report::run(self.id.clone(), cx.clone(), directory);
         compio::runtime::spawn(report).detach();
--- a/crates/front/src/relay/client.rs
+++ b/crates/front/src/relay/client.rs
@@ -13,7 +13,7 @@
 use policy::pooler_retry;
 use policy::replica_ack::Write;
 use store::client::TIME_LIMIT;
-use store::mirror::News;
+use store::mirror::Update;
 
 use super::{FromCarrier, HEARD, Returned, ToCarrier, decode, encode, to_wire};
 use crate::clock;
@@ -141,7 +141,7 @@
         address: SocketAddr,
         after: Revision,
         wait: Span,
-    ) -> Option<News> {
+    ) -> Option<Update> {
         let request = ToCarrier::Follow { after, wait };
         let idle = self.take_idle(reader);
         let reused = idle.is_some();
@@ -207,7 +207,7 @@
         address: SocketAddr,
         request: &ToCarrier,
         wait: Span,
-    ) -> Result<Option<News>, FollowError> {
+    ) -> Result<Option<Update>, FollowError> {
         let mut conn = match conn {
             Some(conn) => conn,
             None => connect(address).await?,
--- a/crates/front/src/run.rs
+++ b/crates/front/src/run.rs
@@ -82,7 +82,7 @@
         cx: cx.clone(),
         directory,
         member: member.clone(),
-        store: store.counted_for(Purpose::Note),
+        store: store.counted_for(Purpose::Intents),
         orders,
         last: Rc::default(),
         named: Default::default(),
--- a/crates/front/tests/feed.rs
+++ b/crates/front/tests/feed.rs
@@ -4,7 +4,7 @@
 use model::position::Revision;
 use model::unit::Span;
 use store::kv::{Listing, Record};
-use store::mirror::News;
+use store::mirror::Update;
 use store::watch::{Batch, Change};
 
 fn block_on<T>(work: impl Future<Output = T>) -> T {
@@ -19,8 +19,8 @@
     }
 }
 
-fn listing(revision: u64) -> News {
-    News::Listing(Listing {
+fn listing(revision: u64) -> Update {
+    Update::Listing(Listing {
         records: vec![record(revision)],
         revision: Revision(revision),
     })
@@ -55,7 +55,7 @@
         };
         let (told, ()) = futures_util::future::join(asked, learns).await;
         assert_eq!(told.unwrap().unpack().unwrap(), listing(7));
-        let change = News::Changes(Batch {
+        let change = Update::Changes(Batch {
             changes: vec![Change::Put(record(9))],
             revision: Revision(9),
         });
--- a/crates/front/tests/follow.rs
+++ b/crates/front/tests/follow.rs
@@ -10,19 +10,19 @@
 use model::position::Revision;
 use model::unit::Span;
 use store::kv::Record;
-use store::mirror::News;
+use store::mirror::Update;
 use store::watch::{Batch, Change};
 
 /// Pause of the neighbour before each part of its answer.
 const PART: Duration = Duration::from_millis(400);
 
-fn news() -> News {
+fn news() -> Update {
     let record = Record {
         key: "op/config".to_owned(),
         value: vec![7; 10_000],
         revision: Revision(9),
     };
-    News::Changes(Batch {
+    Update::Changes(Batch {
         changes: vec![Change::Put(record)],
         revision: Revision(9),
     })
@@ -57,7 +57,7 @@
     address
 }
 
-fn follow(address: SocketAddr) -> Option<News> {
+fn follow(address: SocketAddr) -> Option<Update> {
     let runtime = compio::runtime::Runtime::new().unwrap();
     runtime.block_on(async {
         let client = Client::default();
--- a/crates/store/src/calls.rs
+++ b/crates/store/src/calls.rs
@@ -47,11 +47,11 @@
     #[default]
     Follow,
     /// Keeping this process's place: its lease, its announcement, its doubts.
-    Place,
+    Registration,
     /// Taking and keeping the coordinator's duty.
-    Duty,
+    CoordinatorRole,
     /// Noting changes of primary.
-    Note,
+    Intents,
     /// Asking whether a change of primary is under way.
     Changes,
 }
@@ -60,9 +60,9 @@
     /// Every purpose, in the order of [`Calls::by_purpose`].
     pub const ALL: [Self; 5] = [
         Self::Follow,
-        Self::Place,
-        Self::Duty,
-        Self::Note,
+        Self::Registration,
+        Self::CoordinatorRole,
+        Self::Intents,
         Self::Changes,
     ];
 
@@ -70,9 +70,9 @@
     pub const fn name(self) -> &'static str {
         match self {
             Self::Follow => "follow",
-            Self::Place => "place",
-            Self::Duty => "duty",
-            Self::Note => "note",
+            Self::Registration => "place",
+            Self::CoordinatorRole => "duty",
+            Self::Intents => "note",
             Self::Changes => "changes",
         }
     }
--- a/crates/store/src/mirror.rs
+++ b/crates/store/src/mirror.rs
@@ -15,14 +15,14 @@
 
 /// What one process tells another about the store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum News {
+pub enum Update {
     /// Everything.
     Listing(Listing),
     /// What changed since the revision that was asked for.
     Changes(Batch),
 }
 
-impl News {
+impl Update {
     /// The store's revision up to which it tells everything.
     pub fn revision(&self) -> Revision {
         match self {
@@ -52,10 +52,10 @@
     }
 
     /// Takes news over.
-    pub fn take(&mut self, news: &News) {
+    pub fn take(&mut self, news: &Update) {
         match news {
-            News::Listing(listing) => self.replace(listing),
-            News::Changes(batch) => self.apply(batch),
+            Update::Listing(listing) => self.replace(listing),
+            Update::Changes(batch) => self.apply(batch),
         }
     }
 
@@ -92,16 +92,16 @@
     }
 
     /// What somebody lacks who knows everything up to `after`.
-    pub fn since(&self, after: Revision) -> News {
+    pub fn since(&self, after: Revision) -> Update {
         if after < self.floor {
             let records = self.records.values().cloned().collect();
-            return News::Listing(Listing {
+            return Update::Listing(Listing {
                 records,
                 revision: self.revision,
             });
         }
         let new = self.history.iter().filter(|c| revision(c) > after);
-        News::Changes(Batch {
+        Update::Changes(Batch {
             changes: new.cloned().collect(),
             revision: self.revision,
         })
--- a/crates/store/tests/client.rs
+++ b/crates/store/tests/client.rs
@@ -108,7 +108,7 @@
 async fn calls_are_counted_by_what_they_are_made_for() {
     let fleet = Fleet::start(Spec::small()).unwrap();
     let client = client(&fleet);
-    let place = client.counted_for(Purpose::Place);
+    let place = client.counted_for(Purpose::Registration);
     place.grant(Duration::from_secs(5)).await.unwrap();
     client.put(KEY, b"one".to_vec()).await.unwrap();
     let counted: Vec<_> = client
@@ -117,7 +117,7 @@
         .filter(|(.., count)| *count > 0)
         .collect();
     let follow = (Purpose::Follow, Kind::Write, 1);
-    assert_eq!(counted, [follow, (Purpose::Place, Kind::Lease, 1)]);
+    assert_eq!(counted, [follow, (Purpose::Registration, Kind::Lease, 1)]);
 }
 
 #[compio::test]
--- a/crates/store/tests/mirror.rs
+++ b/crates/store/tests/mirror.rs
@@ -6,7 +6,7 @@
 use rand::rngs::StdRng;
 use rand::{Rng as _, SeedableRng as _};
 use store::kv::{Listing, Record};
-use store::mirror::{Mirror, News};
+use store::mirror::{Mirror, Update};
 use store::watch::{Batch, Change};
 
 /// The store: each key's value and revision.
@@ -57,7 +57,7 @@
 
 /// What a mirror holds, by key.
 fn held(mirror: &Mirror) -> BTreeMap<String, (Vec<u8>, u64)> {
-    let News::Listing(listing) = mirror.since(Revision(0)) else {
+    let Update::Listing(listing) = mirror.since(Revision(0)) else {
         panic!("everything is a listing");
     };
     let pair = |r: Record| (r.key, (r.value, r.revision.0));
@@ -74,13 +74,13 @@
         let (mut oracle, mut reader, mut follower) =
             (Oracle::default(), Mirror::default(), Mirror::default());
         oracle.step(&mut rng);
-        reader.take(&News::Listing(oracle.listing()));
+        reader.take(&Update::Listing(oracle.listing()));
         for _ in 0..120 {
             let batch = oracle.step(&mut rng);
             if rng.random_bool(0.05) {
-                reader.take(&News::Listing(oracle.listing()));
+                reader.take(&Update::Listing(oracle.listing()));
             } else {
-                reader.take(&News::Changes(batch));
+                reader.take(&Update::Changes(batch));
             }
             if rng.random_bool(0.4) {
                 let news = reader.since(follower.revision());
