--- a/crates/front/src/coordinator.rs
+++ b/crates/front/src/coordinator.rs
@@ -18,7 +18,7 @@
 use model::unit::{Span, Time};
 use policy::order_tracker::{OrderTracker, Purpose, UnexpectedPrimary};
 use policy::quorum::{self, Suspicions};
-use policy::takeover::{Answer, Cause, Token};
+use policy::takeover::{Cause, OrderResponse, Token};
 use store::client::Client;
 use store::error::Error;
 
@@ -204,12 +204,12 @@
         group: &GroupId,
         instance: &InstanceId,
         token: Token,
-    ) -> Result<Answer, Error> {
+    ) -> Result<OrderResponse, Error> {
         let (holder, target) = (&self.member.id, (group, instance));
         let answer = platform::order::promote(&self.orders, holder, token, target, ORDER).await;
         let told = answer.as_ref().ok().copied();
         self.cx.metrics.ordered(purpose, told);
-        if matches!(told, None | Some(Answer::Accepted)) {
+        if matches!(told, None | Some(OrderResponse::Accepted)) {
             self.accounts
                 .with(group, |e| e.record_order(purpose, instance));
         }
@@ -217,7 +217,7 @@
     }
 
     /// Counts a primary that this proxy's last order does not account for.
-    fn note_look(&self, group: &GroupId, members: &[policy::takeover::Member]) {
+    fn note_look(&self, group: &GroupId, members: &[policy::takeover::InstanceView]) {
         let Some(duty) = self.member.duty(&self.directory) else {
             return;
         };
--- a/crates/front/src/coordinator/links.rs
+++ b/crates/front/src/coordinator/links.rs
@@ -10,7 +10,7 @@
 use model::unit::{Span, Time};
 use platform::line::Own;
 use policy::pool::{Ask, Kind};
-use policy::takeover::{Member, State};
+use policy::takeover::{InstanceView, State};
 
 use super::Coordinator;
 use super::newcomers::{self, Start};
@@ -173,7 +173,7 @@
         this: &Coordinator,
         asked: impl Fn(&Entry) -> bool,
         near: impl Fn(&Entry) -> bool,
-    ) -> Vec<Member> {
+    ) -> Vec<InstanceView> {
         self.looked_at = clock::now();
         let known = self.entries(this);
         let to_ask: Vec<_> = known
@@ -184,7 +184,7 @@
         let states = self.each(&to_ask, &Own::Status).await;
         let member = |(entry, listed): &(Entry, bool)| {
             let state = states.get(&entry.id).copied();
-            Member {
+            InstanceView {
                 id: entry.id.clone(),
                 listed: *listed,
                 leaving: entry.leaving,
--- a/crates/front/src/coordinator/order.rs
+++ b/crates/front/src/coordinator/order.rs
@@ -8,7 +8,7 @@
 use model::unit::Time;
 use policy::order;
 use policy::order_tracker::Purpose;
-use policy::takeover::Answer;
+use policy::takeover::OrderResponse;
 
 use super::Coordinator;
 use super::links::Links;
@@ -22,7 +22,7 @@
     /// Whether an order before it may still be carried out.
     earlier: bool,
     /// What the platform said; `None` without an answer.
-    pub(super) answer: Option<Answer>,
+    pub(super) answer: Option<OrderResponse>,
     /// When it was said, or no longer waited for.
     pub(super) at: Time,
 }
@@ -86,7 +86,7 @@
     let answer = this.order(purpose, group, next, token).await;
     tracing::info!(%group, instance = %next, %token, ?answer, "the platform answered an order");
     let answer = match answer {
-        Err(e) if e.had_no_effect() => Some(Answer::NotNow),
+        Err(e) if e.had_no_effect() => Some(OrderResponse::NotNow),
         answer => answer.ok(),
     };
     Some(Given {
@@ -100,7 +100,7 @@
 impl Given {
     /// Deletes the note if neither this order nor one before it can have an effect any more.
     pub(super) async fn settle(self, this: &Coordinator, group: &GroupId, led: bool) {
-        if led && self.answer == Some(Answer::Accepted) && self.earlier {
+        if led && self.answer == Some(OrderResponse::Accepted) && self.earlier {
             // It leads by the earlier order, and this one is about to take effect as well.
             clock::sleep_until(self.at + order::TAKES_EFFECT).await;
         }
@@ -137,7 +137,7 @@
         None => return true,
     }
     let given = give(this, Purpose::VoidEarlier, &basis, primary).await;
-    let Some(given) = given.filter(|given| given.answer == Some(Answer::Accepted)) else {
+    let Some(given) = given.filter(|given| given.answer == Some(OrderResponse::Accepted)) else {
         return false;
     };
     forget(this, &basis.group, Call::Lead, given.noted).await;
--- a/crates/front/src/coordinator/report.rs
+++ b/crates/front/src/coordinator/report.rs
@@ -2,7 +2,7 @@
 
 use indexmap::IndexMap;
 use model::id::{GroupId, InstanceId};
-use policy::takeover::{Member, State};
+use policy::takeover::{InstanceView, State};
 
 /// What instances answered to an order.
 pub(super) fn states(group: &GroupId, states: &IndexMap<InstanceId, State>) {
@@ -12,13 +12,18 @@
 }
 
 /// What a look at all instances found.
-pub(super) fn members(group: &GroupId, members: &[Member]) {
+pub(super) fn members(group: &GroupId, members: &[InstanceView]) {
     for member in members {
         line(group, &member.id, member.state.as_ref(), Some(member));
     }
 }
 
-fn line(group: &GroupId, instance: &InstanceId, state: Option<&State>, member: Option<&Member>) {
+fn line(
+    group: &GroupId,
+    instance: &InstanceId,
+    state: Option<&State>,
+    member: Option<&InstanceView>,
+) {
     tracing::info!(
         %group,
         %instance,
--- a/crates/front/src/coordinator/resume.rs
+++ b/crates/front/src/coordinator/resume.rs
@@ -3,7 +3,7 @@
 use model::id::InstanceId;
 use model::position::Revision;
 use platform::line::Own;
-use policy::takeover::{self, Member, Role};
+use policy::takeover::{self, InstanceView, Role};
 
 use super::links::Links;
 use super::report;
@@ -63,8 +63,8 @@
 }
 
 /// Replicas that were told to stop.
-fn stopped(members: &[Member]) -> Vec<InstanceId> {
-    let is_stopped = |m: &&Member| {
+fn stopped(members: &[InstanceView]) -> Vec<InstanceId> {
+    let is_stopped = |m: &&InstanceView| {
         let state = m.state;
         state.is_some_and(|s| s.role == Role::Replica && s.paused.0 > 0)
     };
--- a/crates/front/src/coordinator/takeover.rs
+++ b/crates/front/src/coordinator/takeover.rs
@@ -9,7 +9,9 @@
 use model::unit::{Span, Time};
 use platform::line::Own;
 use policy::order_tracker::Purpose;
-use policy::takeover::{self, Answer, Cause, Hold, Look, Member, Role, State, Step};
+use policy::takeover::{
+    self, Cause, InstanceView, OrderResponse, Role, State, Step, Survey, WaitCause,
+};
 
 use super::links::Links;
 use super::newcomers::Newcomers;
@@ -93,7 +95,7 @@
     /// Since when the old primary has been told to stop leading.
     told_to_stop: Option<Time>,
     /// Why the last look led to nothing.
-    hold: Option<Hold>,
+    hold: Option<WaitCause>,
     /// Whether it has given an order.
     ordered: bool,
     /// Whether the ordered instance leads.
@@ -130,7 +132,7 @@
             });
         }
         if order::unreadable(this, id) {
-            self.wait(this, Hold::OrderPending, &members).await;
+            self.wait(this, WaitCause::OrderPending, &members).await;
             return false;
         }
         let primary = takeover::leader(&members).map(|m| &m.id);
@@ -143,7 +145,7 @@
             return self.end(Outcome::Abandoned);
         }
         let told = self.told_to_stop.map(|at| clock::now().since(at));
-        let look = Look {
+        let look = Survey {
             members,
             old: self.old.clone(),
             cause: self.cause,
@@ -157,7 +159,7 @@
     }
 
     /// Takes the next step; says whether the change is over.
-    async fn step(&mut self, this: &Coordinator, look: &Look) -> bool {
+    async fn step(&mut self, this: &Coordinator, look: &Survey) -> bool {
         let group = self.links.group.clone();
         match takeover::next_step(look) {
             Step::Abandon => self.end(Outcome::Abandoned),
@@ -174,7 +176,7 @@
                 self.told_to_stop.get_or_insert_with(clock::now);
                 false
             }
-            Step::Hold(hold) => {
+            Step::Wait(hold) => {
                 self.wait(this, hold, &look.members).await;
                 false
             }
@@ -197,16 +199,16 @@
     }
 
     /// Makes orders for the primary itself void, before which it must not be told to stop.
-    async fn void_earlier(&mut self, this: &Coordinator, members: &[Member]) {
+    async fn void_earlier(&mut self, this: &Coordinator, members: &[InstanceView]) {
         if !order::void_earlier(this, &self.links, &self.old).await {
-            self.wait(this, Hold::OrderPending, members).await;
+            self.wait(this, WaitCause::OrderPending, members).await;
         }
     }
 
     /// Asks all instances. A doubted primary that was silent is asked again only if a replica
     /// could still receive from it: one that is missing, or that is told so by an earlier
     /// order. Otherwise its answer would be waited for in vain.
-    async fn look(&mut self, this: &Coordinator, resume_pending: bool) -> Vec<Member> {
+    async fn look(&mut self, this: &Coordinator, resume_pending: bool) -> Vec<InstanceView> {
         let known = self.links.entries(this);
         let old = known.iter().find(|(entry, _)| entry.id == self.old);
         let home = old.map(|(entry, _)| entry.data_centre.clone());
@@ -225,7 +227,7 @@
         self.links.look(this, asked, near).await
     }
 
-    async fn wait(&mut self, this: &Coordinator, hold: Hold, members: &[Member]) {
+    async fn wait(&mut self, this: &Coordinator, hold: WaitCause, members: &[InstanceView]) {
         if self.hold != Some(hold) {
             let group = self.links.group.group();
             tracing::warn!(%group, cause = %hold, "the change of primary waits");
@@ -236,15 +238,20 @@
         compio::time::sleep(self.pause(hold)).await;
     }
 
-    const fn pause(&self, hold: Hold) -> Duration {
+    const fn pause(&self, hold: WaitCause) -> Duration {
         match self.cause {
-            _ if matches!(hold, Hold::Unnoted) => NOTE_PAUSE,
+            _ if matches!(hold, WaitCause::Unnoted) => NOTE_PAUSE,
             Cause::Unfinished => UNFINISHED_PAUSE,
             Cause::Doubted | Cause::Leaving | Cause::Lagging => PAUSE,
         }
     }
 
-    async fn promote(&mut self, this: &Coordinator, next: &InstanceId, members: &[Member]) -> bool {
+    async fn promote(
+        &mut self,
+        this: &Coordinator,
+        next: &InstanceId,
+        members: &[InstanceView],
+    ) -> bool {
         let group = self.links.group.clone();
         report::members(group.group(), members);
         let basis = order::Basis::new(&self.links);
@@ -257,7 +264,7 @@
             return false;
         };
         self.ordered = true;
-        let accepted = given.answer == Some(Answer::Accepted);
+        let accepted = given.answer == Some(OrderResponse::Accepted);
         let until = given.at + policy::order::wait(given.answer);
         self.led = leads(this, &mut self.links, next, newcomers, until).await;
         if self.led {
@@ -282,7 +289,7 @@
 }
 
 /// Whether another instance than the old primary leads the newest term.
-fn done(members: &[Member], old: &InstanceId) -> bool {
+fn done(members: &[InstanceView], old: &InstanceId) -> bool {
     let newest = takeover::newest_term(members);
     members
         .iter()
--- a/crates/front/src/metrics.rs
+++ b/crates/front/src/metrics.rs
@@ -4,7 +4,7 @@
 use model::unit::Span;
 use platform::line::{self, Own};
 use policy::order_tracker::Purpose;
-use policy::takeover::{Answer, Cause, Hold};
+use policy::takeover::{Cause, OrderResponse, WaitCause};
 use prometheus::{
     Encoder as _, Histogram, HistogramOpts, IntCounter, IntCounterVec, IntGaugeVec, Opts, Registry,
     TextEncoder,
@@ -176,13 +176,13 @@
     }
 
     /// A change of primary waits, for another reason than before.
-    pub fn change_waits(&self, hold: Hold) {
+    pub fn change_waits(&self, hold: WaitCause) {
         let labels = [hold_name(hold)];
         self.coordinator.holds.with_label_values(&labels).inc();
     }
 
     /// The platform answered an order, or gave no answer that counts.
-    pub fn ordered(&self, purpose: Purpose, answer: Option<Answer>) {
+    pub fn ordered(&self, purpose: Purpose, answer: Option<OrderResponse>) {
         let labels = [purpose_name(purpose), answer_name(answer)];
         self.coordinator.orders.with_label_values(&labels).inc();
     }
@@ -242,16 +242,16 @@
     }
 }
 
-const fn hold_name(hold: Hold) -> &'static str {
+const fn hold_name(hold: WaitCause) -> &'static str {
     match hold {
-        Hold::NoCandidate => "no_candidate",
-        Hold::Unheard => "unheard",
-        Hold::CatchingUp => "catching_up",
-        Hold::PrimarySilent => "primary_silent",
-        Hold::Announcing => "announcing",
-        Hold::ResumePending => "resume_pending",
-        Hold::Unnoted => "unnoted",
-        Hold::OrderPending => "order_pending",
+        WaitCause::NoCandidate => "no_candidate",
+        WaitCause::Unheard => "unheard",
+        WaitCause::CatchingUp => "catching_up",
+        WaitCause::PrimarySilent => "primary_silent",
+        WaitCause::Announcing => "announcing",
+        WaitCause::ResumePending => "resume_pending",
+        WaitCause::Unnoted => "unnoted",
+        WaitCause::OrderPending => "order_pending",
     }
 }
 
@@ -262,11 +262,11 @@
     }
 }
 
-const fn answer_name(answer: Option<Answer>) -> &'static str {
+const fn answer_name(answer: Option<OrderResponse>) -> &'static str {
     match answer {
-        Some(Answer::Accepted) => "accepted",
-        Some(Answer::Conflict) => "conflict",
-        Some(Answer::NotNow) => "not_now",
+        Some(OrderResponse::Accepted) => "accepted",
+        Some(OrderResponse::Conflict) => "conflict",
+        Some(OrderResponse::NotNow) => "not_now",
         None => "none",
     }
 }
--- a/crates/policy/src/order_tracker.rs
+++ b/crates/policy/src/order_tracker.rs
@@ -3,7 +3,7 @@
 use model::id::InstanceId;
 use model::position::Term;
 
-use crate::takeover::{self, Member, Token};
+use crate::takeover::{self, InstanceView, Token};
 
 /// What an order to the platform is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -49,7 +49,11 @@
 
     /// A look at the instances. Gives a primary of a new term that the last order did not
     /// name, or that came after an order that changes no term. Each is given once.
-    pub fn observe(&mut self, holder: Token, members: &[Member]) -> Option<UnexpectedPrimary> {
+    pub fn observe(
+        &mut self,
+        holder: Token,
+        members: &[InstanceView],
+    ) -> Option<UnexpectedPrimary> {
         if self.holder != holder {
             *self = Self {
                 holder,
--- a/crates/policy/src/takeover.rs
+++ b/crates/policy/src/takeover.rs
@@ -73,7 +73,7 @@
 
 /// The platform's answer to an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Answer {
+pub enum OrderResponse {
     /// It is being carried out.
     Accepted,
     /// A higher token was used, or the instance does not run.
@@ -84,7 +84,7 @@
 
 /// An instance of the group as the coordinator sees it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Member {
+pub struct InstanceView {
     /// Which one.
     pub id: InstanceId,
     /// Whether it is announced in the store.
@@ -118,7 +118,7 @@
 
 /// Why nothing is done now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Hold {
+pub enum WaitCause {
     /// No replica answers that could lead.
     #[error("no replica answers that could lead")]
     NoCandidate,
@@ -145,7 +145,7 @@
     OrderPending,
 }
 
-impl Hold {
+impl WaitCause {
     const fn without_candidate(pending: bool) -> Self {
         if pending {
             Self::OrderPending
@@ -165,16 +165,16 @@
     /// Name this instance.
     Promote(InstanceId),
     /// Nothing now; look again.
-    Hold(Hold),
+    Wait(WaitCause),
     /// The primary is well: let the replicas receive, and end.
     Abandon,
 }
 
 /// A fresh look at all instances of a group, and what is known beside it.
 #[derive(Clone, Debug)]
-pub struct Look {
+pub struct Survey {
     /// The instances.
-    pub members: Vec<Member>,
+    pub members: Vec<InstanceView>,
     /// The primary that is to be replaced. What it alone holds has not been acknowledged as
     /// long as every replica answers.
     pub old: InstanceId,
@@ -193,12 +193,12 @@
     pub noted: bool,
 }
 
-impl Look {
-    fn member(&self, id: &InstanceId) -> Option<&Member> {
+impl Survey {
+    fn member(&self, id: &InstanceId) -> Option<&InstanceView> {
         self.members.iter().find(|m| m.id == *id)
     }
 
-    fn old_primary(&self) -> Option<&Member> {
+    fn old_primary(&self) -> Option<&InstanceView> {
         self.member(&self.old)
     }
 
@@ -212,21 +212,21 @@
     }
 
     /// Whether this is the primary that is to be replaced.
-    fn is_old(&self, member: &Member) -> bool {
+    fn is_old(&self, member: &InstanceView) -> bool {
         member.id == self.old && !self.superseded()
     }
 }
 
 /// Decides the next step.
-pub fn next_step(look: &Look) -> Step {
+pub fn next_step(look: &Survey) -> Step {
     match decide(look) {
-        Step::Promote(_) if !look.noted => Step::Hold(Hold::Unnoted),
+        Step::Promote(_) if !look.noted => Step::Wait(WaitCause::Unnoted),
         step => step,
     }
 }
 
-fn decide(look: &Look) -> Step {
-    let Look {
+fn decide(look: &Survey) -> Step {
+    let Survey {
         members,
         old,
         cause,
@@ -240,7 +240,7 @@
         return Step::Abandon;
     }
     if *cause == Cause::Lagging && primary.is_none() && !pending {
-        return Step::Hold(Hold::PrimarySilent);
+        return Step::Wait(WaitCause::PrimarySilent);
     }
     let candidate = candidate(look, newest);
     // While the instance of a pending order is silent, the others stay stopped for it.
@@ -255,14 +255,14 @@
         return Step::Pause(term, running);
     }
     let Some((candidate, own)) = candidate.and_then(|m| Some((m, m.state?))) else {
-        return Step::Hold(Hold::without_candidate(pending));
+        return Step::Wait(WaitCause::without_candidate(pending));
     };
     let cut_off = *cause != Cause::Doubted && known_end.is_some_and(|end| own.received < end);
     if cut_off || others.clone().any(|m| ahead(m, own.received)) {
-        return Step::Hold(Hold::CatchingUp);
+        return Step::Wait(WaitCause::CatchingUp);
     }
     if others.clone().any(|m| unheard(m, own.received, *known_end)) {
-        return Step::Hold(Hold::Unheard);
+        return Step::Wait(WaitCause::Unheard);
     }
     if *cause == Cause::Unfinished && pending {
         return Step::Promote(candidate.id.clone());
@@ -274,7 +274,7 @@
             return Step::Demote(term, old.clone());
         }
         if holds_more(look, own.received) {
-            return Step::Hold(Hold::Announcing);
+            return Step::Wait(WaitCause::Announcing);
         }
     }
     if !missing && !resumes {
@@ -284,7 +284,7 @@
 }
 
 /// Whether the cause is gone.
-fn needless(look: &Look, primary: Option<&Member>) -> bool {
+fn needless(look: &Survey, primary: Option<&InstanceView>) -> bool {
     match look.cause {
         Cause::Doubted => false,
         Cause::Unfinished => primary.is_some(),
@@ -299,7 +299,7 @@
 /// order is on its way receives the whole log before it is announced and can be stopped.
 /// One that has no slot for the question has none for the order either, mostly: it is told
 /// for a while, and then the change goes on.
-fn lives(look: &Look) -> bool {
+fn lives(look: &Survey) -> bool {
     let Some(old) = look.old_primary() else {
         return false;
     };
@@ -312,12 +312,12 @@
 /// Whether the old primary, which has stopped, holds more than the candidate while an
 /// instance that started just before may be about to be announced: it may have received
 /// and acknowledged that.
-fn holds_more(look: &Look, received: Point) -> bool {
+fn holds_more(look: &Survey, received: Point) -> bool {
     let more = look.old_primary().is_some_and(|m| ahead(m, received));
     more && look.told_to_stop.is_some() && !told_long_ago(look)
 }
 
-fn told_long_ago(look: &Look) -> bool {
+fn told_long_ago(look: &Survey) -> bool {
     look.told_to_stop.is_some_and(|told| told >= ANNOUNCED)
 }
 
@@ -329,14 +329,14 @@
 /// That neither of them is announced proves nothing: an entry lapses as well when its instance
 /// is cut off from the store alone. Once it has stopped, what it holds beyond the candidate may
 /// have been acknowledged by a replica that does not answer: then it leads again.
-fn without_old(look: &Look, candidate: &Member, term: Term) -> Step {
+fn without_old(look: &Survey, candidate: &InstanceView, term: Term) -> Step {
     let newest = newest_term(&look.members);
     let silent = look.members.iter().filter(|m| m.state.is_none()).count();
     match look.old_primary() {
-        Some(_) if look.superseded() && silent > 1 => Step::Hold(Hold::Unheard),
+        Some(_) if look.superseded() && silent > 1 => Step::Wait(WaitCause::Unheard),
         Some(p) if leads(p, newest) => Step::Demote(term, look.old.clone()),
-        Some(p) if p.state.is_none() && look.resume_pending => Step::Hold(Hold::ResumePending),
-        Some(p) if p.state.is_none() => Step::Hold(Hold::Unheard),
+        Some(p) if p.state.is_none() && look.resume_pending => Step::Wait(WaitCause::ResumePending),
+        Some(p) if p.state.is_none() => Step::Wait(WaitCause::Unheard),
         Some(p) if silent > 0 && candidate.state.is_some_and(|s| ahead(p, s.received)) => {
             Step::Promote(p.id.clone())
         }
@@ -345,7 +345,7 @@
 }
 
 /// The newest term that any instance tells of.
-pub fn newest_term(members: &[Member]) -> Term {
+pub fn newest_term(members: &[InstanceView]) -> Term {
     let states = members.iter().filter_map(|m| m.state);
     states
         .map(|s| s.term.max(s.received.term))
@@ -354,19 +354,19 @@
 }
 
 /// Whether the instance leads the newest term, by its own word.
-pub fn leads(member: &Member, newest: Term) -> bool {
+pub fn leads(member: &InstanceView, newest: Term) -> bool {
     member
         .state
         .is_some_and(|s| s.role == Role::Primary && s.term >= newest)
 }
 
 /// The instance that leads the newest term, if it answered.
-pub fn leader(members: &[Member]) -> Option<&Member> {
+pub fn leader(members: &[InstanceView]) -> Option<&InstanceView> {
     let newest = newest_term(members);
     members.iter().find(|m| leads(m, newest))
 }
 
-fn replicas(members: &[Member], newest: Term) -> impl Iterator<Item = &Member> + Clone {
+fn replicas(members: &[InstanceView], newest: Term) -> impl Iterator<Item = &InstanceView> + Clone {
     members.iter().filter(move |m| !leads(m, newest))
 }
 
@@ -379,11 +379,11 @@
 /// While an order for an instance may still be carried out, no other is named: once it is
 /// carried out all replicas receive again, and what they then acknowledge may be missing from
 /// an instance that was chosen before.
-fn candidate(look: &Look, newest: Term) -> Option<&Member> {
+fn candidate(look: &Survey, newest: Term) -> Option<&InstanceView> {
     let members = &look.members;
     let alive = leader(members).is_some();
     let ordered = look.ordered.as_ref().filter(|id| !lost_its_log(look, id));
-    let may_lead = |m: &&Member| {
+    let may_lead = |m: &&InstanceView| {
         let meant = ordered.map_or_else(|| !look.is_old(m), |ordered| *ordered == m.id);
         m.listed && meant
     };
@@ -399,7 +399,7 @@
 
 /// Whether an instance that was ordered no longer holds what a stopped replica does: it began
 /// anew. An order for another one then loses less than the wait for its own.
-fn lost_its_log(look: &Look, ordered: &InstanceId) -> bool {
+fn lost_its_log(look: &Survey, ordered: &InstanceId) -> bool {
     let Some(own) = look.member(ordered).and_then(|m| m.state) else {
         return false;
     };
@@ -411,7 +411,7 @@
     stopped.any(|m| ahead(m, own.received))
 }
 
-fn ahead(member: &Member, received: Point) -> bool {
+fn ahead(member: &InstanceView, received: Point) -> bool {
     member.state.is_some_and(|s| s.received > received)
 }
 
@@ -420,7 +420,7 @@
 /// One that is announced may have acknowledged a moment ago. One that is not, and may be cut off
 /// from the store alone, is passed over here if the candidate holds all that the primary is known
 /// to have had; [`without_old`] then requires that the primary has stopped.
-fn unheard(member: &Member, received: Point, known_end: Option<Point>) -> bool {
+fn unheard(member: &InstanceView, received: Point, known_end: Option<Point>) -> bool {
     if member.state.is_some() {
         return false;
     }
--- a/crates/policy/tests/handover/look.rs
+++ b/crates/policy/tests/handover/look.rs
@@ -3,7 +3,7 @@
 use model::id::InstanceId;
 use model::position::Point;
 use model::unit::Span;
-use policy::takeover::{self, Look, Member, Role, Step};
+use policy::takeover::{self, InstanceView, Role, Step, Survey};
 
 use crate::cfg::{Cfg, Guard};
 use crate::doing::{Change, Coordinator, Decision, Doing, Kind, Lead, Purpose};
@@ -91,7 +91,11 @@
 }
 
 /// The order that is to be made void first, as its instance leads, or the one that counts.
-fn pending(this: &Coordinator, leader: Option<&Member>, cfg: &Cfg) -> (Option<Lead>, Option<Lead>) {
+fn pending(
+    this: &Coordinator,
+    leader: Option<&InstanceView>,
+    cfg: &Cfg,
+) -> (Option<Lead>, Option<Lead>) {
     let leads = |lead: &Lead| leader.is_some_and(|m| m.id == id(*lead));
     match this.notes.lead {
         Some(lead) if leads(&lead) && cfg.off == Some(Guard::VoidEarlier) => (None, None),
@@ -126,10 +130,10 @@
     listed.map(|(id, _)| bit(id)).sum::<Set>() & !known
 }
 
-fn members(world: &World) -> Vec<Member> {
+fn members(world: &World) -> Vec<InstanceView> {
     let instances = world.instances.iter().enumerate();
     let known = instances.filter(|(_, i)| i.listing != Listing::Unknown);
-    let member = |(id, i): (Id, &Instance)| Member {
+    let member = |(id, i): (Id, &Instance)| InstanceView {
         id: named(id, known_born(i)),
         listed: i.listing == Listing::Listed,
         leaving: has(world.leaving, id) && !i.hidden,
@@ -159,7 +163,7 @@
 }
 
 /// All instances, without the old primary's answer where it is not asked again.
-fn asked(world: &World, change: &mut Change, resume_pending: bool) -> Vec<Member> {
+fn asked(world: &World, change: &mut Change, resume_pending: bool) -> Vec<InstanceView> {
     let mut members = members(world);
     let old = named(change.old, change.born);
     let complete = members.iter().all(|m| m.listed || m.id == old);
@@ -180,10 +184,10 @@
     world: &World,
     this: &Coordinator,
     change: Change,
-    mut members: Vec<Member>,
+    mut members: Vec<InstanceView>,
     long: bool,
     cfg: &Cfg,
-) -> Look {
+) -> Survey {
     let old = named(change.old, change.born);
     if cfg.off == Some(Guard::Demote) && change.kind == Kind::Doubted {
         members.retain(|m| m.id != old);
@@ -194,7 +198,7 @@
         true => this.end,
         false => world.proved(),
     };
-    Look {
+    Survey {
         members,
         old,
         cause: change.kind.cause(),
@@ -206,7 +210,7 @@
     }
 }
 
-fn decide(look: &Look) -> Result<Decision, Step> {
+fn decide(look: &Survey) -> Result<Decision, Step> {
     let set = |ids: &[InstanceId]| ids.iter().map(|id| bit(index(id))).sum();
     let newest = takeover::newest_term(&look.members);
     let term = u8::try_from(newest.next().0).unwrap();
@@ -214,7 +218,7 @@
         Step::Pause(_, who) => Ok(Decision::Pause(term, set(&who))),
         Step::Demote(_, old) => Ok(Decision::Demote(term, index(&old))),
         Step::Promote(next) => {
-            let known = |m: &&Member| m.state.is_some() || m.listed;
+            let known = |m: &&InstanceView| m.state.is_some() || m.listed;
             let known = look.members.iter().filter(known).map(|m| m.id.clone());
             let known = set(&known.collect::<Vec<_>>());
             Ok(Decision::Promote(index(&next), term, known))
@@ -223,7 +227,7 @@
     }
 }
 
-fn stopped(members: &[Member]) -> Set {
+fn stopped(members: &[InstanceView]) -> Set {
     let stopped = members.iter().filter(|m| {
         let state = m.state;
         state.is_some_and(|s| s.role == Role::Replica && s.paused.0 > 0)
--- a/crates/policy/tests/handover/order.rs
+++ b/crates/policy/tests/handover/order.rs
@@ -2,7 +2,7 @@
 
 use model::unit::Span;
 use policy::order;
-use policy::takeover::Answer;
+use policy::takeover::OrderResponse;
 
 use crate::cfg::{Cfg, Guard};
 use crate::doing::{Doing, Given, Lead, Purpose};
@@ -85,8 +85,8 @@
     cfg: &Cfg,
 ) {
     let answer = given.taken.filter(|_| heard).map(|taken| match taken {
-        true => Answer::Accepted,
-        false => Answer::Conflict,
+        true => OrderResponse::Accepted,
+        false => OrderResponse::Conflict,
     });
     let under_way = world.orders.iter().any(|o| o.token == given.token);
     let since = match under_way && cfg.off != Some(Guard::Time) {
--- a/crates/policy/tests/order_tracker.rs
+++ b/crates/policy/tests/order_tracker.rs
@@ -3,7 +3,7 @@
 use model::id::InstanceId;
 use model::position::{Point, Term};
 use policy::order_tracker::{OrderTracker, Purpose, UnexpectedPrimary};
-use policy::takeover::{Member, Role, State, Token};
+use policy::takeover::{InstanceView, Role, State, Token};
 
 const HOLDER: Token = Token::first(7);
 
@@ -12,14 +12,14 @@
 }
 
 /// What a look finds where this instance leads under a term.
-fn led_by(name: &str, term: u64) -> [Member; 1] {
+fn led_by(name: &str, term: u64) -> [InstanceView; 1] {
     let state = State {
         role: Role::Primary,
         term: Term(term),
         received: Point::default(),
         paused: Term(0),
     };
-    [Member {
+    [InstanceView {
         id: id(name),
         listed: true,
         leaving: false,
--- a/crates/policy/tests/takeover.rs
+++ b/crates/policy/tests/takeover.rs
@@ -5,7 +5,7 @@
 use model::id::InstanceId;
 use model::position::{Point, Term};
 use model::unit::Span;
-use policy::takeover::{self, Cause, Hold, Look, Member, Role, State, Step, Token};
+use policy::takeover::{self, Cause, InstanceView, Role, State, Step, Survey, Token, WaitCause};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 use test_case::test_case;
@@ -23,8 +23,8 @@
     })
 }
 
-fn member(name: &str, state: Option<State>) -> Member {
-    Member {
+fn member(name: &str, state: Option<State>) -> InstanceView {
+    InstanceView {
         id: id(name),
         listed: true,
         leaving: false,
@@ -34,8 +34,8 @@
     }
 }
 
-fn look(members: &[Member], cause: Cause, end: Option<u64>) -> Look {
-    Look {
+fn look(members: &[InstanceView], cause: Cause, end: Option<u64>) -> Survey {
+    Survey {
         members: members.to_vec(),
         old: id("p"),
         cause,
@@ -47,7 +47,7 @@
     }
 }
 
-fn doubted(members: &[Member], end: Option<u64>) -> Step {
+fn doubted(members: &[InstanceView], end: Option<u64>) -> Step {
     takeover::next_step(&look(members, Cause::Doubted, end))
 }
 
@@ -93,15 +93,15 @@
         member("a", state(Role::Replica, 5, 0)),
         member("b", None),
     ];
-    assert_eq!(doubted(&members, Some(5)), Step::Hold(Hold::Unheard));
+    assert_eq!(doubted(&members, Some(5)), Step::Wait(WaitCause::Unheard));
 }
 
 /// The same replica is no longer announced, and the primary has been silent for so long that it
 /// is no longer remembered. If the other holds all that the primary was seen to have, nothing
 /// can be missing; if not, it waits.
 #[test_case(Some(5), &Step::Promote(id("a")); "holds all that was seen")]
-#[test_case(Some(6), &Step::Hold(Hold::Unheard); "lacks what was seen")]
-#[test_case(None, &Step::Hold(Hold::Unheard); "nothing was seen")]
+#[test_case(Some(6), &Step::Wait(WaitCause::Unheard); "lacks what was seen")]
+#[test_case(None, &Step::Wait(WaitCause::Unheard); "nothing was seen")]
 fn passes_over_a_replica_that_is_gone(end: Option<u64>, step: &Step) {
     let mut members = [member("a", state(Role::Replica, 5, 0)), member("b", None)];
     members[1].listed = false;
@@ -121,7 +121,7 @@
     ];
     members[0].listed = false;
     members[2].listed = false;
-    assert_eq!(doubted(&members, Some(5)), Step::Hold(Hold::Unheard));
+    assert_eq!(doubted(&members, Some(5)), Step::Wait(WaitCause::Unheard));
 }
 
 /// A primary is taken out of service. The old one goes on until the new one leads, so
@@ -179,7 +179,10 @@
     };
     let leads = members(state(Role::Primary, 9, 0));
     assert_eq!(doubted(&leads, Some(9)), Step::Demote(Term(2), id("p")));
-    assert_eq!(doubted(&members(None), Some(9)), Step::Hold(Hold::Unheard));
+    assert_eq!(
+        doubted(&members(None), Some(9)),
+        Step::Wait(WaitCause::Unheard)
+    );
     let stopped = members(state(Role::Replica, 9, 0));
     let mut look = look(&stopped, Cause::Doubted, Some(9));
     look.told_to_stop = Some(Span::from_millis(300));
@@ -191,7 +194,7 @@
 /// received from the old primary, which was back, and acknowledged a write that the new
 /// primary lacked. While such an order may be on its way, stopped replicas prove nothing,
 /// so the old primary must have stopped leading.
-#[test_case(None, &Step::Hold(Hold::ResumePending); "silent, it may come back")]
+#[test_case(None, &Step::Wait(WaitCause::ResumePending); "silent, it may come back")]
 #[test_case(state(Role::Primary, 9, 0), &Step::Demote(Term(2), id("p")); "it lives")]
 #[test_case(state(Role::Replica, 9, 0), &Step::Promote(id("a")); "it has stopped")]
 fn a_pending_resume_needs_a_primary_that_has_stopped(old: Option<State>, step: &Step) {
@@ -221,7 +224,7 @@
 /// primary that lives stops leading first. Its writes do not end anyway.
 #[test]
 fn a_doubted_primary_that_lives_stops_first() {
-    let members = |old: Member| {
+    let members = |old: InstanceView| {
         [
             old,
             member("a", state(Role::Replica, 9, 0)),
@@ -257,7 +260,7 @@
         ];
         takeover::next_step(&look(&members, Cause::Leaving, Some(11)))
     };
-    assert_eq!(step(10), Step::Hold(Hold::CatchingUp));
+    assert_eq!(step(10), Step::Wait(WaitCause::CatchingUp));
     assert_eq!(step(11), Step::Promote(id("a")));
 }
 
@@ -286,7 +289,7 @@
         state(Role::Primary, 9, 0).filter(|_| cause != Cause::Doubted),
     );
     primary.leaving = cause == Cause::Leaving;
-    let step = |a: Member| {
+    let step = |a: InstanceView| {
         let members = [primary.clone(), a, member("b", state(Role::Replica, 9, 2))];
         let mut look = look(&members, cause, Some(9));
         look.ordered = Some(id("a"));
@@ -295,10 +298,10 @@
     let mut leaving = member("a", state(Role::Replica, 9, 0));
     leaving.leaving = true;
     assert_eq!(step(leaving), Step::Promote(id("a")));
-    assert_eq!(step(member("a", None)), Step::Hold(Hold::OrderPending));
+    assert_eq!(step(member("a", None)), Step::Wait(WaitCause::OrderPending));
     let mut gone = member("a", None);
     gone.listed = false;
-    assert_eq!(step(gone), Step::Hold(Hold::OrderPending));
+    assert_eq!(step(gone), Step::Wait(WaitCause::OrderPending));
 }
 
 /// Guards against a replica that receives while the instance of a pending order is silent:
@@ -374,7 +377,7 @@
     assert_eq!(step(stopped, &["a"]), Step::Promote(id("b")));
     assert_eq!(step(ahead, &["a"]), Step::Promote(id("p")));
     // Two that are silent may be a primary and a replica that acknowledges.
-    assert_eq!(step(stopped, &["a", "c"]), Step::Hold(Hold::Unheard));
+    assert_eq!(step(stopped, &["a", "c"]), Step::Wait(WaitCause::Unheard));
 }
 
 /// Guards against a write that only a replica had received which is gone: the old primary, which
@@ -383,7 +386,7 @@
 fn a_stopped_primary_that_alone_may_hold_a_write_leads_again() {
     let mut gone = member("b", None);
     gone.listed = false;
-    let step = |other: Member| {
+    let step = |other: InstanceView| {
         let members = [
             member("p", state(Role::Replica, 12, 0)),
             member("a", state(Role::Replica, 9, 2)),
@@ -505,7 +508,7 @@
     PrimaryGone,
     Back(usize),
     PrimaryDies,
-    Look,
+    Survey,
     /// An order to stop is carried out only now.
     LatePause(usize),
     /// An order to receive again is carried out only now.
@@ -528,7 +531,7 @@
         1 => Just(Event::PrimaryGone),
         2 => at.clone().prop_map(Event::Back),
         1 => Just(Event::PrimaryDies),
-        4 => Just(Event::Look),
+        4 => Just(Event::Survey),
         1 => at.clone().prop_map(Event::LatePause),
         1 => at.prop_map(Event::LateResume),
         1 => Just(Event::PrimaryBack),
@@ -569,7 +572,7 @@
         }
     }
 
-    fn members(&self) -> Vec<Member> {
+    fn members(&self) -> Vec<InstanceView> {
         let role = if self.leads {
             Role::Primary
         } else {
@@ -610,7 +613,7 @@
                 self.leads = false;
                 None
             }
-            Step::Hold(_) | Step::Abandon => None,
+            Step::Wait(_) | Step::Abandon => None,
         }
     }
 
@@ -664,7 +667,7 @@
                 self.receive(n);
             }
             Event::Announced => self.replicas.iter_mut().for_each(|r| r.known = true),
-            Event::Look => return self.step(),
+            Event::Survey => return self.step(),
         }
         None
     }
@@ -691,7 +694,7 @@
         for event in events {
             let Some(named) = world.apply(event) else { continue };
             for event in later {
-                if !matches!(event, Event::Look) {
+                if !matches!(event, Event::Survey) {
                     world.apply(event);
                 }
                 let held = world.replicas[named].received;
@@ -714,10 +717,11 @@
             member("b", state(Role::Replica, 9, 2)),
         ]
     };
-    let step = |members: &[Member]| takeover::next_step(&look(members, Cause::Lagging, Some(9)));
+    let step =
+        |members: &[InstanceView]| takeover::next_step(&look(members, Cause::Lagging, Some(9)));
     let well = members(state(Role::Primary, 9, 0));
     assert_eq!(step(&well), Step::Promote(id("a")));
-    assert_eq!(step(&members(None)), Step::Hold(Hold::PrimarySilent));
+    assert_eq!(step(&members(None)), Step::Wait(WaitCause::PrimarySilent));
     let mut other = members(state(Role::Replica, 9, 0));
     other[1].state = state(Role::Primary, 9, 0);
     assert_eq!(step(&other), Step::Abandon);
