--- a/crates/front/src/changes.rs
+++ b/crates/front/src/changes.rs
@@ -14,7 +14,7 @@
 use model::id::GroupId;
 use model::unit::{Span, Time};
 use platform::kv;
-use policy::replica_ack::Counted;
+use policy::replica_ack::EligibleBefore;
 use store::calls::Purpose;
 use store::client::Client;
 
@@ -99,9 +99,9 @@
 struct Told {
     /// When the newest answer was asked for.
     asked: Time,
-    counted: Counted,
+    counted: EligibleBefore,
     /// The same for groups with a change under way: as it was before.
-    changing: IndexMap<GroupId, Counted>,
+    changing: IndexMap<GroupId, EligibleBefore>,
 }
 
 impl Told {
@@ -122,10 +122,10 @@
 
 impl Changes {
     /// Whether a connection to the group counts that was opened at this time.
-    pub fn counts(&self, group: &GroupId, opened: Time) -> bool {
+    pub fn is_eligible(&self, group: &GroupId, opened: Time) -> bool {
         let told = self.told.borrow();
         let counted = told.changing.get(group).unwrap_or(&told.counted);
-        counted.counts(opened)
+        counted.is_eligible(opened)
     }
 
     /// Takes over an answer of the store: it was asked at `asked` and held notes of changes of
--- a/crates/front/src/coordinator/links.rs
+++ b/crates/front/src/coordinator/links.rs
@@ -9,7 +9,7 @@
 use model::position::Revision;
 use model::unit::{Span, Time};
 use platform::line::Own;
-use policy::pool::{Ask, Kind};
+use policy::pool::{ConnRequest, Kind};
 use policy::takeover::{InstanceView, State};
 
 use super::Coordinator;
@@ -203,9 +203,9 @@
     }
 }
 
-fn control(entry: &Entry, limit: Duration) -> Ask {
+fn control(entry: &Entry, limit: Duration) -> ConnRequest {
     let now = clock::now();
-    Ask {
+    ConnRequest {
         kind: Kind::Control(entry.id.clone()),
         own: None,
         arrived: now,
--- a/crates/front/src/group.rs
+++ b/crates/front/src/group.rs
@@ -14,7 +14,7 @@
 use model::id::{GroupId, InstanceId};
 use model::position::Point;
 use model::unit::{Span, Time};
-use policy::pool::{self, Action, Ask, Grant, OpenFault, Pool, Refused};
+use policy::pool::{self, Action, ConnRequest, Grant, OpenFault, Pool, Refused};
 use policy::primary_monitor::PrimaryMonitor;
 use policy::proof::Proof;
 use policy::replica_ack::Replica;
@@ -47,7 +47,7 @@
 
 /// A message to the group's task.
 enum Message {
-    Ask(Ask, Reply),
+    Ask(ConnRequest, Reply),
     GiveBack(Returned),
     Opened(InstanceId, Result<Conn, OpenFault>),
     /// Announced instances, and since when they may have been so.
@@ -338,7 +338,7 @@
         let others = self.pool.instances().filter(|i| Some(i.id()) != primary);
         let replica = |i: &pool::Instance<Conn>| Replica {
             id: i.id().clone(),
-            way: self.ways.round_trip(&i.entry().data_centre),
+            round_trip: self.ways.round_trip(&i.entry().data_centre),
             leaving: i.entry().leaving,
         };
         others.map(replica).collect()
@@ -357,8 +357,8 @@
         self.prepare_at = now + PREPARE_PAUSE;
         let actions = self.pool.connect(now);
         self.act(actions);
-        let counts = |opened| self.changes.counts(&self.id, opened);
-        if !self.pool.oldest().all(counts) {
+        let is_eligible = |opened| self.changes.is_eligible(&self.id, opened);
+        if !self.pool.oldest().all(is_eligible) {
             self.changes.refresh();
         }
     }
--- a/crates/front/src/group/handle.rs
+++ b/crates/front/src/group/handle.rs
@@ -5,7 +5,7 @@
 use model::entry::Entry;
 use model::id::{GroupId, InstanceId};
 use model::unit::{Span, Time};
-use policy::pool::{Ask, Reason, Refused};
+use policy::pool::{ConnRequest, Reason, Refused};
 use policy::replica_ack::{Replica, Write};
 
 use super::receipt::Request;
@@ -31,7 +31,7 @@
     }
 
     /// Waits for a connection or a refusal.
-    pub async fn ask(&self, ask: Ask) -> Result<Lent, Refused> {
+    pub async fn ask(&self, ask: ConnRequest) -> Result<Lent, Refused> {
         let (tx, rx) = flume::bounded(1);
         self.send(Message::Ask(ask, tx));
         let stopped = Refused {
--- a/crates/front/src/group/receipt.rs
+++ b/crates/front/src/group/receipt.rs
@@ -5,8 +5,8 @@
 
 use model::id::{GroupId, InstanceId};
 use model::unit::{Span, Time};
-use policy::pool::{Ask, Kind};
-use policy::replica_ack::{self, Replica, Silent, Unproven, Write};
+use policy::pool::{ConnRequest, Kind};
+use policy::replica_ack::{self, PendingAcks, Replica, Unresponsive, Write};
 
 use super::{Handle, Lent};
 use crate::changes::Changes;
@@ -39,8 +39,8 @@
     group: Rc<GroupId>,
     handle: Handle,
     changes: Changes,
-    unproven: Unproven<flume::Sender<bool>>,
-    silent: Silent,
+    unproven: PendingAcks<flume::Sender<bool>>,
+    silent: Unresponsive,
     /// Before which time the store is not asked again.
     check_at: Time,
     pause: Span,
@@ -52,8 +52,8 @@
             group,
             handle,
             changes,
-            unproven: Unproven::default(),
-            silent: Silent::default(),
+            unproven: PendingAcks::default(),
+            silent: Unresponsive::default(),
             check_at: Time::default(),
             pause: PAUSES.0,
         }
@@ -81,13 +81,13 @@
     /// Asks one replica after the other until no write is left.
     async fn ask_all(&mut self, rx: &flume::Receiver<Request>) {
         let mut replicas = self.handle.replicas().await;
-        replicas.retain(Replica::proves);
+        replicas.retain(Replica::may_acknowledge);
         let mut left_out = Vec::new();
-        for replica in replica_ack::in_order(replicas, &self.silent, clock::now()) {
+        for replica in replica_ack::by_preference(replicas, &self.silent, clock::now()) {
             let Some(lent) = self.lend(&replica.id).await else {
                 continue;
             };
-            if self.counts(&lent) {
+            if self.is_eligible(&lent) {
                 self.ask(lent, rx).await;
             } else {
                 left_out.push(lent);
@@ -100,7 +100,7 @@
             self.check().await;
         }
         for lent in left_out {
-            if !self.unproven.is_empty() && self.counts(&lent) {
+            if !self.unproven.is_empty() && self.is_eligible(&lent) {
                 self.ask(lent, rx).await;
             } else {
                 lent.give_back();
@@ -152,7 +152,7 @@
 
     async fn lend(&mut self, id: &InstanceId) -> Option<Lent> {
         let now = clock::now();
-        let ask = Ask {
+        let ask = ConnRequest {
             kind: Kind::Control(id.clone()),
             own: None,
             arrived: now,
@@ -168,9 +168,9 @@
         lent.ok()
     }
 
-    fn counts(&self, lent: &Lent) -> bool {
+    fn is_eligible(&self, lent: &Lent) -> bool {
         let opened = lent.opened();
-        opened.is_some_and(|opened| self.changes.counts(&self.group, opened))
+        opened.is_some_and(|opened| self.changes.is_eligible(&self.group, opened))
     }
 
     /// Asks the store whether a change of primary is under way, so that more connections may
--- a/crates/front/src/lend.rs
+++ b/crates/front/src/lend.rs
@@ -8,7 +8,7 @@
 use model::id::{GroupId, ProxyId};
 use model::unit::Span;
 use policy::fallback::{Fallback, FallbackChoice};
-use policy::pool::{Ask, Reason, Refused};
+use policy::pool::{ConnRequest, Reason, Refused};
 use policy::pooler_retry::{Next, PoolerAttempts};
 
 use crate::clock;
@@ -84,7 +84,7 @@
 
 impl Cx {
     /// Waits for a connection to a group, of this proxy or of another one.
-    pub async fn lend(&self, group: &GroupId, mut ask: Ask) -> Result<Lent, Refused> {
+    pub async fn lend(&self, group: &GroupId, mut ask: ConnRequest) -> Result<Lent, Refused> {
         while clock::now() < ask.give_up {
             match self.borrow(group, &ask).await {
                 Ok(end) => return end,
@@ -102,7 +102,11 @@
 
     /// Asks the carriers of this data centre; tells what to do if none of them serves the
     /// request.
-    async fn borrow(&self, group: &GroupId, ask: &Ask) -> Result<Result<Lent, Refused>, Next> {
+    async fn borrow(
+        &self,
+        group: &GroupId,
+        ask: &ConnRequest,
+    ) -> Result<Result<Lent, Refused>, Next> {
         let mut carriers = self.roads.through(group).into_iter().peekable();
         let mut round = PoolerAttempts::default();
         while let Some(carrier) = carriers.next() {
@@ -126,7 +130,7 @@
 
     /// Waits for a connection of this proxy, or goes through another one if no instance that
     /// could serve the request is in reach from here.
-    async fn lend_here(&self, group: &GroupId, mut ask: Ask) -> Result<Lent, Refused> {
+    async fn lend_here(&self, group: &GroupId, mut ask: ConnRequest) -> Result<Lent, Refused> {
         let Some(handle) = self.group(group) else {
             return Err(unknown());
         };
@@ -144,7 +148,11 @@
 
     /// Asks other proxies; `None` if none of them serves the request, or another statement
     /// is asking just now.
-    async fn lend_elsewhere(&self, group: &GroupId, ask: &Ask) -> Option<Result<Lent, Refused>> {
+    async fn lend_elsewhere(
+        &self,
+        group: &GroupId,
+        ask: &ConnRequest,
+    ) -> Option<Result<Lent, Refused>> {
         let peers = match self.roads.way(group) {
             FallbackChoice::Known(peer) => vec![peer],
             FallbackChoice::Search(peers) => peers,
--- a/crates/front/src/relay.rs
+++ b/crates/front/src/relay.rs
@@ -18,7 +18,7 @@
 use model::route::Guarantee;
 use model::statement::{Access, Shape};
 use model::unit::{Span, Time};
-use policy::pool::{Ask, Kind, Refused};
+use policy::pool::{ConnRequest, Kind, Refused};
 use serde::{Deserialize, Serialize};
 
 use crate::clock;
@@ -158,7 +158,7 @@
     }
 }
 
-fn to_wire(group: &GroupId, ask: &Ask) -> Option<ToCarrier> {
+fn to_wire(group: &GroupId, ask: &ConnRequest) -> Option<ToCarrier> {
     let now = clock::now();
     let kind = match &ask.kind {
         Kind::Write => WireKind::Write,
@@ -177,7 +177,7 @@
     })
 }
 
-fn from_wire(message: ToCarrier) -> Option<(GroupId, Ask)> {
+fn from_wire(message: ToCarrier) -> Option<(GroupId, ConnRequest)> {
     let ToCarrier::Ask {
         group,
         kind,
@@ -197,7 +197,7 @@
         WireKind::Read(guarantee) => Kind::Read(guarantee),
     };
     let arrived = now.as_micros().saturating_sub(waited.as_micros());
-    let ask = Ask {
+    let ask = ConnRequest {
         kind,
         own,
         arrived: Time::from_micros(arrived),
--- a/crates/front/src/relay/client.rs
+++ b/crates/front/src/relay/client.rs
@@ -9,7 +9,7 @@
 use model::id::{GroupId, ProxyId};
 use model::position::Revision;
 use model::unit::{Span, Time};
-use policy::pool::{Ask, Refused};
+use policy::pool::{ConnRequest, Refused};
 use policy::pooler_retry;
 use policy::replica_ack::Write;
 use store::client::TIME_LIMIT;
@@ -85,7 +85,7 @@
         carrier: &ProxyId,
         address: SocketAddr,
         group: &GroupId,
-        ask: &Ask,
+        ask: &ConnRequest,
     ) -> Result<Lent, Miss> {
         let now = clock::now();
         let until = self.0.passed_over.borrow().get(carrier).copied();
@@ -251,7 +251,7 @@
         carrier: &ProxyId,
         address: SocketAddr,
         group: &GroupId,
-        ask: &Ask,
+        ask: &ConnRequest,
     ) -> Result<Lent, Trouble> {
         let request = to_wire(group, ask)
             .ok_or(Trouble::Elsewhere(pooler_retry::GrantFailure::Unreachable))?;
--- a/crates/front/src/session/attempt.rs
+++ b/crates/front/src/session/attempt.rs
@@ -7,7 +7,7 @@
 use model::route::Route;
 use model::statement::{Access, Code, TxState};
 use model::unit::{Span, Time};
-use policy::pool::{Ask, Kind};
+use policy::pool::{ConnRequest, Kind};
 use rand::Rng as _;
 
 use super::{Done, Failure, Job, Session};
@@ -276,8 +276,8 @@
 }
 
 /// A request for a connection on behalf of a statement.
-pub(super) fn ask(job: &Job, kind: Kind, route: &Route, own: Option<Point>) -> Ask {
-    Ask {
+pub(super) fn ask(job: &Job, kind: Kind, route: &Route, own: Option<Point>) -> ConnRequest {
+    ConnRequest {
         kind,
         own,
         arrived: job.arrived,
--- a/crates/front/src/session/tx.rs
+++ b/crates/front/src/session/tx.rs
@@ -3,7 +3,7 @@
 use model::route::Route;
 use model::statement::{Access, Code, TxState};
 use model::unit::{Span, Time};
-use policy::pool::{Ask, Kind};
+use policy::pool::{ConnRequest, Kind};
 
 use super::attempt::{self, Lost, Tries};
 use super::{Done, Failure, Job, Session};
@@ -280,7 +280,7 @@
                 Access::Write => Kind::Write,
                 Access::Read => Kind::Read(route.guarantee),
             };
-            let ask = Ask {
+            let ask = ConnRequest {
                 kind,
                 own: self.own,
                 arrived,
--- a/crates/front/tests/changes.rs
+++ b/crates/front/tests/changes.rs
@@ -24,7 +24,7 @@
 #[test]
 fn connections_opened_during_a_change_count_after_it() {
     let changes = Changes::default();
-    let counts = |name: &str, opened| changes.counts(&name.parse().unwrap(), at(opened));
+    let counts = |name: &str, opened| changes.is_eligible(&name.parse().unwrap(), at(opened));
     assert!(!counts("a", 5));
     changes.take(at(10), &groups(&[]));
     assert!(counts("a", 5) && counts("b", 5));
@@ -43,7 +43,7 @@
 fn nothing_counts_for_a_proxy_that_starts_during_a_change() {
     let changes = Changes::default();
     changes.take(at(10), &groups(&["a"]));
-    assert!(!changes.counts(&"a".parse().unwrap(), at(5)));
+    assert!(!changes.is_eligible(&"a".parse().unwrap(), at(5)));
 }
 
 /// Guards against an answer that comes late, by a neighbour, and ends a change that a later
@@ -54,7 +54,7 @@
     changes.take(at(10), &groups(&[]));
     changes.take(at(30), &groups(&["a"]));
     changes.take(at(20), &groups(&[]));
-    let counts = |opened| changes.counts(&"a".parse().unwrap(), at(opened));
+    let counts = |opened| changes.is_eligible(&"a".parse().unwrap(), at(opened));
     assert!(counts(5) && !counts(15));
 }
 
@@ -89,7 +89,7 @@
 /// Waits until a connection that was opened at this time counts for all.
 async fn all_count(proxies: &[Changes], opened: Time) {
     let group = "a".parse().unwrap();
-    while !proxies.iter().all(|c| c.counts(&group, opened)) {
+    while !proxies.iter().all(|c| c.is_eligible(&group, opened)) {
         compio::time::sleep(Duration::from_millis(5)).await;
     }
 }
--- a/crates/policy/src/pool.rs
+++ b/crates/policy/src/pool.rs
@@ -19,7 +19,7 @@
 
 use crate::proof::{Need, Proof, Proofs};
 pub use instance::Instance;
-pub use request::{Action, Ask, Grant, Kind, OpenFault, Reason, Refused};
+pub use request::{Action, ConnRequest, Grant, Kind, OpenFault, Reason, Refused};
 
 /// Least hint to come back, so that refused callers do not spin.
 const MIN_RETRY: Span = Span::from_millis(50);
@@ -44,7 +44,7 @@
 const MAX_WAITING: usize = 400;
 
 struct Waiter<W> {
-    ask: Ask,
+    ask: ConnRequest,
     who: W,
 }
 
@@ -210,7 +210,7 @@
     }
 
     /// Asks for a connection.
-    pub fn ask(&mut self, ask: Ask, who: W, now: Time) -> Vec<Action<C, W>> {
+    pub fn ask(&mut self, ask: ConnRequest, who: W, now: Time) -> Vec<Action<C, W>> {
         self.note_age(&ask.kind, now);
         if !ask.patient && self.is_out_of_reach(&ask, now) {
             let refused = out_of_reach();
@@ -243,7 +243,7 @@
 
     /// Whether no instance that could serve the request is in reach of this proxy, while
     /// another proxy may reach one.
-    fn is_out_of_reach(&self, ask: &Ask, now: Time) -> bool {
+    fn is_out_of_reach(&self, ask: &ConnRequest, now: Time) -> bool {
         match self.need(ask) {
             None => false,
             Some(Need::Primary) => match &self.primary {
@@ -258,7 +258,7 @@
     }
 
     /// What the request's instance must be or hold; `None` for a question to a certain one.
-    fn need(&self, ask: &Ask) -> Option<Need> {
+    fn need(&self, ask: &ConnRequest) -> Option<Need> {
         match ask.kind {
             Kind::Control(_) => None,
             Kind::Write => Some(Need::Primary),
@@ -271,7 +271,7 @@
     /// Load: a group without a primary for longer than a change of primary takes, for
     /// instance because the store is away. Harm without it: all of its callers wait until
     /// their time is up and learn only then that they must come back.
-    fn hopeless(&mut self, ask: &Ask, now: Time) -> bool {
+    fn hopeless(&mut self, ask: &ConnRequest, now: Time) -> bool {
         self.note_loss(now);
         let long = self
             .lost_since
@@ -427,7 +427,7 @@
         self.waiting.iter().map(|w| w.ask.give_up).min()
     }
 
-    fn refusal(&self, ask: &Ask) -> Refused {
+    fn refusal(&self, ask: &ConnRequest) -> Refused {
         let reason = match (&ask.kind, &self.primary) {
             (Kind::Write | Kind::Read(Guarantee::Newest), None) => Reason::NoPrimary,
             _ if self.instances.is_empty() => Reason::NoInstance,
--- a/crates/policy/src/pool/request.rs
+++ b/crates/policy/src/pool/request.rs
@@ -18,7 +18,7 @@
 
 /// A request for a connection.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct ConnRequest {
     /// What it is for.
     pub kind: Kind,
     /// The session's newest own write.
@@ -36,7 +36,7 @@
     pub patient: bool,
 }
 
-impl Ask {
+impl ConnRequest {
     pub(super) fn rank(&self) -> (bool, u8, Time) {
         let control = matches!(self.kind, Kind::Control(_));
         (!control, self.priority, self.arrived)
--- a/crates/policy/src/pool/serve.rs
+++ b/crates/policy/src/pool/serve.rs
@@ -5,7 +5,7 @@
 use model::unit::Time;
 
 use super::instance::Limits;
-use super::{Action, Ask, Grant, Instance, Kind, Opened, Pool};
+use super::{Action, ConnRequest, Grant, Instance, Kind, Opened, Pool};
 use crate::proof::Need;
 
 /// Connections for each slot of an instance that idle ones leave free, for proxies that
@@ -130,7 +130,7 @@
     }
 
     /// The instance that would serve the request soonest.
-    fn place(&self, ask: &Ask, need: Need, now: Time) -> Option<InstanceId> {
+    fn place(&self, ask: &ConnRequest, need: Need, now: Time) -> Option<InstanceId> {
         if let Kind::Control(id) = &ask.kind {
             let instance = self.instances.get(id)?;
             let mut limits = self.limits();
--- a/crates/policy/src/replica_ack.rs
+++ b/crates/policy/src/replica_ack.rs
@@ -39,16 +39,16 @@
 
 /// Connections that count: those opened before a moment without a change of primary.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Counted(Option<Time>);
+pub struct EligibleBefore(Option<Time>);
 
-impl Counted {
+impl EligibleBefore {
     /// The store was asked at `asked` and held no note of a change.
     pub fn checked(&mut self, asked: Time) {
         self.0 = self.0.max(Some(asked));
     }
 
     /// Whether a connection opened at this time counts.
-    pub fn counts(&self, opened: Time) -> bool {
+    pub fn is_eligible(&self, opened: Time) -> bool {
         self.0.is_some_and(|checked| opened < checked)
     }
 }
@@ -59,7 +59,7 @@
     /// Which one.
     pub id: InstanceId,
     /// Round trip to it.
-    pub way: Span,
+    pub round_trip: Span,
     /// Whether it is being taken out of service.
     pub leaving: bool,
 }
@@ -69,23 +69,23 @@
     ///
     /// The log of a replica that leaves goes with it. A write that only it and the primary
     /// hold is lost when it has gone and a coordinator that never knew it names another.
-    pub fn proves(&self) -> bool {
+    pub fn may_acknowledge(&self) -> bool {
         !self.leaving
     }
 }
 
 /// The replicas in the order in which they are asked: those that answer first, then those
 /// that stay, then the nearest.
-pub fn in_order(mut replicas: Vec<Replica>, silent: &Silent, now: Time) -> Vec<Replica> {
-    replicas.sort_by_key(|r| (silent.contains(&r.id, now), r.leaving, r.way));
+pub fn by_preference(mut replicas: Vec<Replica>, silent: &Unresponsive, now: Time) -> Vec<Replica> {
+    replicas.sort_by_key(|r| (silent.contains(&r.id, now), r.leaving, r.round_trip));
     replicas
 }
 
 /// Replicas that left a question unanswered.
 #[derive(Debug, Default)]
-pub struct Silent(indexmap::IndexMap<InstanceId, Time>);
+pub struct Unresponsive(indexmap::IndexMap<InstanceId, Time>);
 
-impl Silent {
+impl Unresponsive {
     /// One did not answer.
     pub fn add(&mut self, id: InstanceId, now: Time) {
         self.0.retain(|_, at| now.since(*at) < SILENT_FOR);
@@ -105,15 +105,15 @@
 
 /// Writes without a proof; `R` stands for who waits.
 #[derive(Debug)]
-pub struct Unproven<R>(Vec<(Write, Time, R)>);
+pub struct PendingAcks<R>(Vec<(Write, Time, R)>);
 
-impl<R> Default for Unproven<R> {
+impl<R> Default for PendingAcks<R> {
     fn default() -> Self {
         Self(Vec::new())
     }
 }
 
-impl<R> Unproven<R> {
+impl<R> PendingAcks<R> {
     /// Whether nobody waits.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
--- a/crates/policy/tests/pool.rs
+++ b/crates/policy/tests/pool.rs
@@ -7,7 +7,7 @@
 use model::position::Point;
 use model::route::Guarantee;
 use model::unit::{Span, Time};
-use policy::pool::{Action, Ask, Kind, OpenFault, Pool, Reason};
+use policy::pool::{Action, ConnRequest, Kind, OpenFault, Pool, Reason};
 use policy::proof::Proof;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
@@ -36,8 +36,8 @@
     }
 }
 
-fn ask(kind: Kind, now: u64) -> Ask {
-    Ask {
+fn ask(kind: Kind, now: u64) -> ConnRequest {
+    ConnRequest {
         kind,
         own: None,
         arrived: at(now),
--- a/crates/policy/tests/pool_age.rs
+++ b/crates/policy/tests/pool_age.rs
@@ -4,7 +4,7 @@
 use model::id::InstanceId;
 use model::position::Point;
 use model::unit::{Span, Time};
-use policy::pool::{Action, Ask, Kind, Pool};
+use policy::pool::{Action, ConnRequest, Kind, Pool};
 use policy::proof::Proof;
 
 /// The milliseconds at which a connection was opened are its name.
@@ -51,8 +51,8 @@
     actions.iter().filter_map(close).collect()
 }
 
-fn ask() -> Ask {
-    Ask {
+fn ask() -> ConnRequest {
+    ConnRequest {
         kind: Kind::Control(id()),
         own: None,
         arrived: at(20),
@@ -180,7 +180,7 @@
     };
     pool.proved(&id(), proof);
     pool.set_entries_since(&[entry(true)], |_| Span::from_millis(1), at(100), at(3_100));
-    let write = |now| Ask {
+    let write = |now| ConnRequest {
         kind: Kind::Write,
         arrived: at(now),
         give_up: at(now + 100),
--- a/crates/policy/tests/pool_restart.rs
+++ b/crates/policy/tests/pool_restart.rs
@@ -5,7 +5,7 @@
 use model::id::InstanceId;
 use model::position::Point;
 use model::unit::{Span, Time};
-use policy::pool::{Action, Ask, Kind, OpenFault, Pool};
+use policy::pool::{Action, ConnRequest, Kind, OpenFault, Pool};
 use policy::proof::Proof;
 
 /// Connections that the instance accepts, and proxies that share them.
@@ -47,8 +47,8 @@
     pool
 }
 
-fn ask() -> Ask {
-    Ask {
+fn ask() -> ConnRequest {
+    ConnRequest {
         kind: Kind::Write,
         own: None,
         arrived: at(0),
--- a/crates/policy/tests/replica_ack.rs
+++ b/crates/policy/tests/replica_ack.rs
@@ -3,7 +3,7 @@
 use model::id::InstanceId;
 use model::position::Point;
 use model::unit::{Span, Time};
-use policy::replica_ack::{self, Counted, Replica, Silent, Unproven, Write};
+use policy::replica_ack::{self, EligibleBefore, PendingAcks, Replica, Unresponsive, Write};
 use test_case::test_case;
 
 fn id(name: &str) -> InstanceId {
@@ -35,21 +35,21 @@
 /// instance that the change does not know.
 #[test]
 fn only_connections_opened_before_a_moment_without_a_change_count() {
-    let mut counted = Counted::default();
-    assert!(!counted.counts(at(0)));
+    let mut counted = EligibleBefore::default();
+    assert!(!counted.is_eligible(at(0)));
     counted.checked(at(50));
-    assert!(counted.counts(at(49)));
-    assert!(!counted.counts(at(50)));
+    assert!(counted.is_eligible(at(49)));
+    assert!(!counted.is_eligible(at(50)));
     // An answer that was overtaken takes nothing back.
     counted.checked(at(40));
-    assert!(counted.counts(at(49)));
+    assert!(counted.is_eligible(at(49)));
 }
 
 /// Guards against callers that wait although one answer covers their writes, or after their
 /// time is up.
 #[test]
 fn one_answer_releases_all_writes_up_to_it() {
-    let mut unproven = Unproven::default();
+    let mut unproven = PendingAcks::default();
     for (number, give_up) in [(7, 100), (8, 20), (9, 100)] {
         unproven.add(write(1, number), at(give_up), number);
     }
@@ -66,20 +66,20 @@
 fn a_replica_that_leaves_proves_no_write() {
     let replica = |leaving| Replica {
         id: id("a"),
-        way: Span::from_millis(1),
+        round_trip: Span::from_millis(1),
         leaving,
     };
-    assert!(replica(false).proves());
-    assert!(!replica(true).proves());
+    assert!(replica(false).may_acknowledge());
+    assert!(!replica(true).may_acknowledge());
 }
 
 /// Guards against writes that wait for a replica which is cut off or about to go, while a
 /// near one holds them.
 #[test]
 fn replicas_that_answer_stay_and_are_near_are_asked_first() {
-    let replica = |name, way, leaving| Replica {
+    let replica = |name, round_trip, leaving| Replica {
         id: id(name),
-        way: Span::from_millis(way),
+        round_trip: Span::from_millis(round_trip),
         leaving,
     };
     let all = vec![
@@ -88,10 +88,10 @@
         replica("cut", 1, false),
         replica("near", 2, false),
     ];
-    let mut silent = Silent::default();
+    let mut silent = Unresponsive::default();
     silent.add(id("cut"), at(0));
-    let order = |silent: &Silent, now| {
-        let order = replica_ack::in_order(all.clone(), silent, now);
+    let order = |silent: &Unresponsive, now| {
+        let order = replica_ack::by_preference(all.clone(), silent, now);
         let names = order.iter().map(|r| r.id.to_string());
         names.collect::<Vec<_>>()
     };
