--- a/crates/load/src/slopes/adoption.rs
+++ b/crates/load/src/slopes/adoption.rs
@@ -7,7 +7,7 @@
 use model::config::Fleet;
 use model::document::{self, Encoded};
 use model::position::Revision;
-use policy::config_mirror::{Adopter, Change, Delta, Record};
+use policy::config_mirror::{Change, ConfigMirror, Delta, Record};
 
 use super::process;
 use crate::report::Table;
@@ -44,7 +44,7 @@
     let (values, bytes) = (first.records.len(), size(&first));
     let head = encoded.head.len();
     let memory = process::memory();
-    let mut adopter = Adopter::default();
+    let mut adopter = ConfigMirror::default();
     let began = process::thread_cpu();
     adopted(&adopter.merge(first))?;
     let first = process::thread_cpu() - began;
@@ -139,7 +139,7 @@
 
 fn adopted(changes: &[Change]) -> miette::Result<()> {
     match changes {
-        [Change::Adopted(_)] => Ok(()),
+        [Change::Applied(_)] => Ok(()),
         other => Err(miette::miette!("not adopted: {other:?}")),
     }
 }
--- a/crates/load/src/slopes/membership.rs
+++ b/crates/load/src/slopes/membership.rs
@@ -8,9 +8,9 @@
 use miette::IntoDiagnostic as _;
 use model::unit::{Span, Time};
 use peer::codec;
-use policy::membership::Member;
+use policy::membership::Membership;
 use policy::membership::message::{Action, Heartbeat, Peer};
-use policy::membership::table::{News, State};
+use policy::membership::table::{MemberInfo, State};
 
 use super::process;
 use crate::report::Table;
@@ -30,7 +30,7 @@
 
 struct World {
     now: Time,
-    members: Vec<Member>,
+    members: Vec<Membership>,
     queue: VecDeque<(usize, Action)>,
     bodies: usize,
     exchanges: usize,
@@ -73,7 +73,7 @@
         let now = Time::from_millis(1_000);
         let mut members = Vec::new();
         for at in 0..proxies {
-            let me = News {
+            let me = MemberInfo {
                 id: format!("proxy-{at:04}").parse().into_diagnostic()?,
                 data_centre: format!("dc{}", at % CENTRES).parse().into_diagnostic()?,
                 address: address(at),
@@ -83,7 +83,7 @@
                 storeless: false,
             };
             let seeds = (0..CENTRES).map(address).collect();
-            members.push(Member::new(now, me, seeds, at as u64));
+            members.push(Membership::new(now, me, seeds, at as u64));
         }
         Ok(Self {
             now,
--- a/crates/policy/src/config_mirror.rs
+++ b/crates/policy/src/config_mirror.rs
@@ -67,9 +67,9 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
     /// Another configuration is in force.
-    Adopted(Snapshot),
+    Applied(Snapshot),
     /// A newer configuration was refused; the last good one stays in force.
-    Refused(Revision, Rejection),
+    Rejected(Revision, Rejection),
     /// A record other than the configuration changed.
     Record(Record),
 }
@@ -79,7 +79,7 @@
 /// Invariants: a record's revision never falls; `complete` never falls; the revision in
 /// force never falls.
 #[derive(Clone, Debug, Default)]
-pub struct Adopter {
+pub struct ConfigMirror {
     records: IndexMap<String, Record>,
     complete: Revision,
     current: Option<Snapshot>,
@@ -87,7 +87,7 @@
     decoder: Decoder,
 }
 
-impl Adopter {
+impl ConfigMirror {
     /// The configuration in force, if one is known.
     pub fn current(&self) -> Option<&Snapshot> {
         self.current.as_ref()
@@ -147,7 +147,7 @@
             Err(None) => None,
             Err(Some(rejection)) => {
                 self.refused = Some((head.revision, rejection.clone()));
-                Some(Change::Refused(head.revision, rejection))
+                Some(Change::Rejected(head.revision, rejection))
             }
         }
     }
@@ -174,7 +174,7 @@
         self.current = Some(snapshot.clone());
         self.refused = None;
         self.drop_old_parts(revision);
-        Change::Adopted(snapshot)
+        Change::Applied(snapshot)
     }
 
     /// Drops parts that only older configurations name. Parts written since the head may
--- a/crates/policy/src/failure_detector.rs
+++ b/crates/policy/src/failure_detector.rs
@@ -11,7 +11,7 @@
 use model::unit::{Span, Time};
 
 use crate::decision::{Cause, Fact};
-use crate::message::PeerView;
+use crate::message::PeerReport;
 use crate::spec::Spec;
 use crate::status::{Observed, Role};
 
@@ -99,7 +99,7 @@
 #[derive(Clone, Debug)]
 pub struct Heard {
     /// What it said.
-    pub view: PeerView,
+    pub view: PeerReport,
     /// When.
     pub at: Time,
 }
@@ -221,6 +221,6 @@
 }
 
 /// Whether the speaker reaches the primary: it has a recent answer and waits for none.
-fn reaches(view: &PeerView) -> bool {
+fn reaches(view: &PeerReport) -> bool {
     view.silent < DOUBT_AFTER && view.heard.is_some_and(|age| age < VIEW_AGE)
 }
--- a/crates/policy/src/group.rs
+++ b/crates/policy/src/group.rs
@@ -21,7 +21,8 @@
 use crate::failure_detector::{Heard, Reach, Verdict};
 use crate::freshness::Freshness;
 use crate::message::{
-    Action, Ask, Audience, Channel, Event, Peer, PeerView, Query, StoreAsk, Ticket, Versioned,
+    Action, Ask, Channel, Event, Peer, PeerReport, Query, Recipients, StoreRequest, Ticket,
+    Versioned,
 };
 use crate::poll::{Kind, Open, Poll};
 use crate::promote::Attempt;
@@ -329,16 +330,16 @@
         });
     }
 
-    fn ask_store(&mut self, ask: StoreAsk) -> Query {
+    fn ask_store(&mut self, ask: StoreRequest) -> Query {
         let query = self.query();
         self.out.push(Action::Store { query, ask });
         query
     }
 
-    fn tell(&mut self, to: Audience, asks: bool) {
+    fn tell(&mut self, to: Recipients, asks: bool) {
         let reach = self.lead.primary.as_ref().and_then(|p| self.reach.get(p));
         let reach = reach.copied().unwrap_or_default();
-        let view = PeerView {
+        let view = PeerReport {
             group: self.spec.group.clone(),
             proxy: self.me.id.clone(),
             location: self.me.location.clone(),
--- a/crates/policy/src/group/answer.rs
+++ b/crates/policy/src/group/answer.rs
@@ -6,7 +6,7 @@
 use super::Group;
 use crate::decision::{Fact, Phase, What};
 use crate::failure_detector::Heard;
-use crate::message::{Audience, PeerView, Query, StoreAnswer, Versioned};
+use crate::message::{PeerReport, Query, Recipients, StoreReply, Versioned};
 use crate::promote::{Choice, Progress};
 use crate::route::Failure;
 use crate::status::{Observed, Status};
@@ -63,10 +63,10 @@
         self.progress(progress);
     }
 
-    pub(super) fn take_store(&mut self, query: Query, answer: StoreAnswer) {
+    pub(super) fn take_store(&mut self, query: Query, answer: StoreReply) {
         if self.reading.is_some_and(|(q, _)| q == query) {
             self.reading = None;
-            if let StoreAnswer::Found(found) = answer {
+            if let StoreReply::Found(found) = answer {
                 self.take_record(found);
             }
             return;
@@ -101,13 +101,13 @@
         }
     }
 
-    pub(super) fn take_view(&mut self, view: PeerView) {
+    pub(super) fn take_view(&mut self, view: PeerReport) {
         if let Some(primary) = &view.primary {
             self.learn(view.term, primary);
         }
         let behind = view.term < self.lead.term;
         if view.asks || behind {
-            self.tell(Audience::One(view.proxy.clone()), false);
+            self.tell(Recipients::One(view.proxy.clone()), false);
         }
         let at = self.now;
         self.views.insert(view.proxy.clone(), Heard { view, at });
@@ -135,7 +135,7 @@
                 );
                 self.change.trace = trace;
                 // The status that shows it led to `learn` already.
-                self.tell(Audience::All, false);
+                self.tell(Recipients::All, false);
             }
             Progress::Published(primary, versioned) => {
                 self.ended(Phase::Publish, What::Published(primary), vec![], vec![]);
--- a/crates/policy/src/group/drive.rs
+++ b/crates/policy/src/group/drive.rs
@@ -7,7 +7,7 @@
 use super::Group;
 use crate::decision::{Cause, Fact, Phase, What};
 use crate::failure_detector::{Verdict, View};
-use crate::message::{Ask, Audience, Channel, Peer, StoreAsk};
+use crate::message::{Ask, Channel, Peer, Recipients, StoreRequest};
 use crate::poll::{self, Due};
 use crate::promote::{Attempt, Order};
 use crate::rank;
@@ -61,7 +61,7 @@
         if self.reading.is_some_and(|(_, at)| open(at)) {
             return;
         }
-        let query = self.ask_store(StoreAsk::Read);
+        let query = self.ask_store(StoreRequest::Read);
         self.reading = Some((query, self.now));
     }
 
@@ -99,7 +99,7 @@
         let told = self.told.is_some_and(|at| self.now.since(at) < poll::DOUBT);
         if doubt && !told {
             self.told = Some(self.now);
-            self.tell(Audience::All, true);
+            self.tell(Recipients::All, true);
         }
     }
 
--- a/crates/policy/src/membership.rs
+++ b/crates/policy/src/membership.rs
@@ -31,13 +31,13 @@
 use link::Links;
 use message::{Action, Compare, Heartbeat, Peer};
 use spread::Spread;
-use table::{News, State, Table};
+use table::{MemberInfo, State, Table};
 use timing::{ALONE, BEAT, COMPARE_EVERY, FETCH, MISSES};
 
 /// The membership controller of one proxy.
 #[derive(Debug)]
-pub struct Member {
-    me: News,
+pub struct Membership {
+    me: MemberInfo,
     table: Table,
     spread: Spread,
     links: Links,
@@ -65,10 +65,10 @@
     last_push: Option<Time>,
 }
 
-impl Member {
+impl Membership {
     /// A proxy that knows itself and some addresses to try; `seed` is its only source of
     /// randomness.
-    pub fn new(now: Time, me: News, seeds: Vec<SocketAddr>, seed: u64) -> Self {
+    pub fn new(now: Time, me: MemberInfo, seeds: Vec<SocketAddr>, seed: u64) -> Self {
         let mut table = Table::default();
         table.take(now, me.clone());
         let mut spread = Spread::default();
@@ -96,7 +96,7 @@
     }
 
     /// What this proxy tells of itself.
-    pub fn me(&self) -> &News {
+    pub fn me(&self) -> &MemberInfo {
         &self.me
     }
 
@@ -295,7 +295,7 @@
         actions
     }
 
-    fn learn(&mut self, now: Time, news: News) -> bool {
+    fn learn(&mut self, now: Time, news: MemberInfo) -> bool {
         if news.id == self.me.id {
             return self.contradict(now, &news);
         }
--- a/crates/policy/src/membership/delegate.rs
+++ b/crates/policy/src/membership/delegate.rs
@@ -11,7 +11,7 @@
 use model::hash;
 use model::id::{DataCentre, ProxyId};
 
-use crate::membership::table::{News, State, Table};
+use crate::membership::table::{MemberInfo, State, Table};
 
 /// Proxies of a data centre that keep links to others. Two, so that the death of one
 /// leaves half of the links in place until the next in rank takes over.
@@ -21,7 +21,7 @@
 ///
 /// A proxy that is being stopped goes last, and so does one that cannot reach the store,
 /// as long as there are others.
-pub fn ranking<'a>(table: &'a Table, place: &'a DataCentre) -> Vec<&'a News> {
+pub fn ranking<'a>(table: &'a Table, place: &'a DataCentre) -> Vec<&'a MemberInfo> {
     let mut ranked: Vec<_> = table.running_in(place).collect();
     ranked.sort_by_cached_key(|news| {
         let weight = hash::of([place.as_str(), news.id.as_str()]);
@@ -37,7 +37,11 @@
 }
 
 /// The other keepers of links of the data centre `home`; `None` unless `me` keeps some.
-pub fn fellows<'a>(table: &'a Table, home: &'a DataCentre, me: &ProxyId) -> Option<Vec<&'a News>> {
+pub fn fellows<'a>(
+    table: &'a Table,
+    home: &'a DataCentre,
+    me: &ProxyId,
+) -> Option<Vec<&'a MemberInfo>> {
     let mut keepers = ranking(table, home);
     keepers.truncate(LINK_KEEPERS);
     let before = keepers.len();
--- a/crates/policy/src/membership/duty.rs
+++ b/crates/policy/src/membership/duty.rs
@@ -6,9 +6,9 @@
 use super::message::{Action, Peer};
 use super::table::State;
 use super::timing::{FETCH, PUSH_EVERY, PUSHES, STORELESS};
-use super::{Member, delegate};
+use super::{Membership, delegate};
 
-impl Member {
+impl Membership {
     /// The records are known up to this revision; peers hear of it at once.
     pub fn advanced(&mut self, now: Time, complete: Revision) -> Vec<Action> {
         if complete <= self.complete {
--- a/crates/policy/src/membership/judge.rs
+++ b/crates/policy/src/membership/judge.rs
@@ -4,15 +4,15 @@
 use model::unit::Time;
 use rand::seq::IteratorRandom as _;
 
-use super::Member;
+use super::Membership;
 use super::message::{Action, Compare, Failure, Peer, Tables};
-use super::table::{News, State};
+use super::table::{MemberInfo, State};
 use super::timing::{ALONE, FORGET, HOLD, MISSES, SUSPICION};
 
-impl Member {
+impl Membership {
     /// Others took this proxy for dead, e.g. because it was paused: it raises its
     /// incarnation, and that news counts more than theirs.
-    pub(super) fn contradict(&mut self, now: Time, news: &News) -> bool {
+    pub(super) fn contradict(&mut self, now: Time, news: &MemberInfo) -> bool {
         let theirs = (news.incarnation, news.state);
         if theirs <= (self.me.incarnation, self.me.state) {
             return false;
@@ -42,7 +42,7 @@
             return Vec::new();
         }
         let state = State::Suspected;
-        self.learn(now, News { state, ..news });
+        self.learn(now, MemberInfo { state, ..news });
         vec![Action::Changed]
     }
 
@@ -66,7 +66,7 @@
         for news in late {
             self.misses.shift_remove(&news.id);
             let state = State::Gone;
-            self.learn(now, News { state, ..news });
+            self.learn(now, MemberInfo { state, ..news });
             actions.push(Action::Changed);
         }
         actions.dedup();
--- a/crates/policy/src/membership/link.rs
+++ b/crates/policy/src/membership/link.rs
@@ -6,7 +6,7 @@
 
 use crate::membership::delegate;
 use crate::membership::message::Peer;
-use crate::membership::table::{News, State, Table};
+use crate::membership::table::{MemberInfo, State, Table};
 
 /// Time without any word of a data centre, by any path, after which its proxies count as
 /// gone. A cut of the links looks the same, and its proxies are better believed alive
@@ -137,13 +137,13 @@
     }
 }
 
-fn peer(news: &News) -> Peer {
+fn peer(news: &MemberInfo) -> Peer {
     Peer {
         id: Some(news.id.clone()),
         address: news.address,
     }
 }
 
-fn is_running(news: &News) -> bool {
+fn is_running(news: &MemberInfo) -> bool {
     news.state != State::Gone
 }
--- a/crates/policy/src/membership/message.rs
+++ b/crates/policy/src/membership/message.rs
@@ -7,16 +7,16 @@
 use model::id::{DataCentre, ProxyId};
 use model::position::Revision;
 
-use crate::membership::table::News;
+use crate::membership::table::MemberInfo;
 
 /// A heartbeat, and likewise its answer.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Heartbeat {
     /// The sender.
-    pub from: News,
+    pub from: MemberInfo,
     /// News of others.
     #[serde(default)]
-    pub news: Vec<News>,
+    pub news: Vec<MemberInfo>,
     /// Revision up to which the sender knows every record of the store.
     #[serde(default)]
     pub complete: Revision,
@@ -38,7 +38,7 @@
 #[serde(default)]
 pub struct Tables {
     /// Every proxy of those data centres.
-    pub news: Vec<News>,
+    pub news: Vec<MemberInfo>,
 }
 
 /// How an exchange with a peer ended.
--- a/crates/policy/src/membership/spread.rs
+++ b/crates/policy/src/membership/spread.rs
@@ -3,7 +3,7 @@
 use indexmap::IndexMap;
 use model::id::ProxyId;
 
-use crate::membership::table::News;
+use crate::membership::table::MemberInfo;
 
 /// Most news in one heartbeat. Load: a data centre that comes back sends a hundred at
 /// once. Harm: heartbeats must stay small to fit the budget. At 8 a heartbeat holds about
@@ -18,17 +18,17 @@
 #[derive(Clone, Debug, Default)]
 pub struct Spread {
     /// The news with the number of times that it was sent.
-    waiting: IndexMap<ProxyId, (News, u32)>,
+    waiting: IndexMap<ProxyId, (MemberInfo, u32)>,
 }
 
 impl Spread {
     /// Puts news in line, in place of older news of the same proxy.
-    pub fn add(&mut self, news: News) {
+    pub fn add(&mut self, news: MemberInfo) {
         self.waiting.insert(news.id.clone(), (news, 0));
     }
 
     /// The news for one heartbeat, the least often sent first.
-    pub fn take(&mut self, proxies: usize) -> Vec<News> {
+    pub fn take(&mut self, proxies: usize) -> Vec<MemberInfo> {
         let limit = SENDS_PER_DOUBLING * (usize::BITS - proxies.leading_zeros()).max(1);
         let mut order: Vec<_> = self
             .waiting
--- a/crates/policy/src/membership/table.rs
+++ b/crates/policy/src/membership/table.rs
@@ -45,7 +45,7 @@
 
 /// News of one proxy, as proxies pass it on.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub struct News {
+pub struct MemberInfo {
     /// The proxy.
     pub id: ProxyId,
     /// Where it runs.
@@ -65,7 +65,7 @@
     pub storeless: bool,
 }
 
-impl News {
+impl MemberInfo {
     fn rank(&self) -> (u64, State) {
         (self.incarnation, self.state)
     }
@@ -75,7 +75,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
     /// What is known of it.
-    pub news: News,
+    pub news: MemberInfo,
     /// When its state last changed here.
     pub since: Time,
 }
@@ -89,7 +89,7 @@
 
 impl Table {
     /// Takes in news; returns whether it was newer than what was known.
-    pub fn take(&mut self, now: Time, news: News) -> bool {
+    pub fn take(&mut self, now: Time, news: MemberInfo) -> bool {
         let known = self.entries.get(&news.id);
         if known.is_some_and(|entry| entry.news.rank() >= news.rank()) {
             return false;
@@ -111,13 +111,13 @@
     }
 
     /// Proxies that count as running: live ones, and suspected ones until they are gone.
-    pub fn running(&self) -> impl Iterator<Item = &News> {
+    pub fn running(&self) -> impl Iterator<Item = &MemberInfo> {
         let news = self.entries.values().map(|entry| &entry.news);
         news.filter(|news| news.state != State::Gone)
     }
 
     /// Running proxies of a data centre.
-    pub fn running_in<'a>(&'a self, place: &'a DataCentre) -> impl Iterator<Item = &'a News> {
+    pub fn running_in<'a>(&'a self, place: &'a DataCentre) -> impl Iterator<Item = &'a MemberInfo> {
         self.running()
             .filter(move |news| news.data_centre == *place)
     }
--- a/crates/policy/src/message.rs
+++ b/crates/policy/src/message.rs
@@ -56,7 +56,7 @@
 
 /// A request to the platform's store about the group's leadership record.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum StoreAsk {
+pub enum StoreRequest {
     /// The record as it stands.
     Read,
     /// Write the record if its revision is still the expected one (0: absent).
@@ -79,7 +79,7 @@
 
 /// What the store answered.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum StoreAnswer {
+pub enum StoreReply {
     /// The record as read, or as found by a swap that changed nothing.
     Found(Versioned),
     /// The swap took effect at this revision.
@@ -90,7 +90,7 @@
 
 /// What one proxy tells another about a group's primary.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub struct PeerView {
+pub struct PeerReport {
     /// The group.
     pub group: GroupId,
     /// The proxy that speaks.
@@ -129,7 +129,7 @@
     /// The live proxies, this one included or not.
     Peers(Vec<Peer>),
     /// Another proxy's view.
-    Peer(PeerView),
+    Peer(PeerReport),
     /// An instance answered, or failed to.
     Answer {
         /// Question that was asked.
@@ -142,7 +142,7 @@
         /// Request that was made.
         query: Query,
         /// Its outcome.
-        answer: StoreAnswer,
+        answer: StoreReply,
     },
     /// News of the record from a watch or a peer.
     Record(Versioned),
@@ -196,7 +196,7 @@
 
 /// Whom a view is meant for.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Audience {
+pub enum Recipients {
     /// Every live proxy.
     All,
     /// One proxy.
@@ -222,14 +222,14 @@
         /// Names the answer.
         query: Query,
         /// What to ask.
-        ask: StoreAsk,
+        ask: StoreRequest,
     },
     /// Tell other proxies.
     Tell {
         /// Whom.
-        to: Audience,
+        to: Recipients,
         /// What.
-        view: PeerView,
+        view: PeerReport,
     },
     /// Answer a routed request.
     Routed {
--- a/crates/policy/src/promote.rs
+++ b/crates/policy/src/promote.rs
@@ -12,7 +12,7 @@
 
 use crate::decision::{Cause, Fact, Trace};
 use crate::leadership::Record;
-use crate::message::{Ask, Query, StoreAnswer, StoreAsk, Versioned};
+use crate::message::{Ask, Query, StoreReply, StoreRequest, Versioned};
 use crate::spec::Spec;
 use crate::status::Status;
 
@@ -48,7 +48,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Order {
     /// A request to the store.
-    Store(StoreAsk),
+    Store(StoreRequest),
     /// An order to an instance.
     Ask(InstanceId, Ask),
 }
@@ -161,29 +161,29 @@
     }
 
     /// Takes in an answer of the store.
-    pub fn store(&mut self, now: Time, query: Query, answer: StoreAnswer) -> Option<Progress> {
+    pub fn store(&mut self, now: Time, query: Query, answer: StoreReply) -> Option<Progress> {
         if !self.queries.contains(&query) {
             return None;
         }
         match (&self.step, answer) {
-            (Step::Reading, StoreAnswer::Found(found)) => {
+            (Step::Reading, StoreReply::Found(found)) => {
                 self.base_on(&found);
                 None
             }
-            (Step::Claiming | Step::Settling, StoreAnswer::Swapped(revision)) => {
+            (Step::Claiming | Step::Settling, StoreReply::Swapped(revision)) => {
                 Some(self.won(now, revision))
             }
-            (Step::Claiming | Step::Settling, StoreAnswer::Found(found)) => self.settle(now, found),
-            (Step::Claiming, StoreAnswer::Unknown) => {
+            (Step::Claiming | Step::Settling, StoreReply::Found(found)) => self.settle(now, found),
+            (Step::Claiming, StoreReply::Unknown) => {
                 self.step = Step::Settling;
                 self.asked = None;
                 None
             }
-            (Step::Publishing(primary), StoreAnswer::Swapped(revision)) => {
+            (Step::Publishing(primary), StoreReply::Swapped(revision)) => {
                 let primary = primary.clone();
                 Some(self.published(primary, revision))
             }
-            (Step::Publishing(_), StoreAnswer::Found(found)) => self.check_published(found),
+            (Step::Publishing(_), StoreReply::Found(found)) => self.check_published(found),
             _ => None,
         }
     }
@@ -282,7 +282,7 @@
     /// What is to be sent now; the caller names store requests by `note_store`.
     pub fn orders(&mut self, now: Time, spec: &Spec) -> Vec<Order> {
         match self.step.clone() {
-            Step::Reading | Step::Settling => self.ask_store(now, StoreAsk::Read),
+            Step::Reading | Step::Settling => self.ask_store(now, StoreRequest::Read),
             Step::Claiming => self.ask_swap(now, None),
             Step::Fencing => {
                 let members = spec.members.keys();
@@ -307,10 +307,10 @@
         let mut record = self.record.clone();
         record.primary = primary;
         let expected = self.revision;
-        self.ask_store(now, StoreAsk::Swap { expected, record })
+        self.ask_store(now, StoreRequest::Swap { expected, record })
     }
 
-    fn ask_store(&self, now: Time, ask: StoreAsk) -> Vec<Order> {
+    fn ask_store(&self, now: Time, ask: StoreRequest) -> Vec<Order> {
         let open = self.asked.is_some_and(|at| now.since(at) < STORE_AGAIN);
         if open {
             Vec::new()
--- a/crates/policy/src/share.rs
+++ b/crates/policy/src/share.rs
@@ -76,7 +76,7 @@
 
 /// Request of a borrower to the lender.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub struct Ask {
+pub struct LoanRequest {
     /// The backend server.
     pub instance: InstanceId,
     /// Who asks; a restarted proxy is another one.
@@ -100,7 +100,7 @@
 
 /// Answer of a lender.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub struct Answer {
+pub struct LoanResponse {
     /// The backend server.
     pub instance: InstanceId,
     /// The request that is answered.
--- a/crates/policy/src/share/borrower.rs
+++ b/crates/policy/src/share/borrower.rs
@@ -3,7 +3,7 @@
 use model::id::{InstanceId, ProxyId};
 use model::unit::{Span, Time};
 
-use super::{Answer, Ask, MARGIN_DIVISOR, Stamp, Terms};
+use super::{LoanRequest, LoanResponse, MARGIN_DIVISOR, Stamp, Terms};
 
 /// What a proxy has and wants at one backend server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -99,7 +99,7 @@
     }
 
     /// The next request, to be sent to `lender` now.
-    pub fn ask(&mut self, lender: &ProxyId, demand: Demand, now: Time) -> Ask {
+    pub fn ask(&mut self, lender: &ProxyId, demand: Demand, now: Time) -> LoanRequest {
         let floor = self.terms.floor();
         let want = demand.want.saturating_sub(floor);
         let open = demand.open.saturating_sub(floor);
@@ -110,7 +110,7 @@
         self.seq += 1;
         self.sent = now;
         self.asked = Some(lender.clone());
-        Ask {
+        LoanRequest {
             instance: self.instance.clone(),
             from: self.me.clone(),
             seq: self.seq,
@@ -130,7 +130,7 @@
 
     /// Takes an answer of `from`; older answers than to the last request are void,
     /// because the promise in that request replaced them.
-    pub fn answered(&mut self, from: &ProxyId, answer: &Answer) {
+    pub fn answered(&mut self, from: &ProxyId, answer: &LoanResponse) {
         if answer.seq != self.seq || self.asked.as_ref() != Some(from) {
             return;
         }
--- a/crates/policy/src/share/lender.rs
+++ b/crates/policy/src/share/lender.rs
@@ -4,7 +4,7 @@
 use model::id::{InstanceId, ProxyId};
 use model::unit::{Span, Time};
 
-use super::{Answer, Ask, Loan, Stamp, Terms};
+use super::{Loan, LoanRequest, LoanResponse, Stamp, Terms};
 
 /// What one borrower may hold at most, as far as this reign knows.
 #[derive(Clone, Copy, Debug)]
@@ -79,14 +79,14 @@
     }
 
     /// Answers a request; `None` for one that came late or twice.
-    pub fn ask(&mut self, ask: &Ask, now: Time) -> Option<Answer> {
+    pub fn ask(&mut self, ask: &LoanRequest, now: Time) -> Option<LoanResponse> {
         let known = self.records.get(&ask.from);
         if known.is_some_and(|r| ask.seq <= r.seq) {
             return None;
         }
         let reign = self.reign.filter(|_| self.reigns(now));
         let loan = reign.and_then(|since| self.lend(ask, since, now));
-        Some(Answer {
+        Some(LoanResponse {
             instance: self.instance.clone(),
             seq: ask.seq,
             stamp: Stamp(now),
@@ -94,7 +94,7 @@
         })
     }
 
-    fn lend(&mut self, ask: &Ask, since: Time, now: Time) -> Option<Loan> {
+    fn lend(&mut self, ask: &LoanRequest, since: Time, now: Time) -> Option<Loan> {
         self.records.retain(|_, r| now < r.until);
         let settled = now >= since + self.longest;
         let kept = self.kept(ask, settled, now);
@@ -125,7 +125,7 @@
         })
     }
 
-    fn amount(&self, ask: &Ask, kept: u32) -> u32 {
+    fn amount(&self, ask: &LoanRequest, kept: u32) -> u32 {
         let others: u32 = self.others(&ask.from).map(|r| r.amount).sum();
         let free = self.terms.pool().saturating_sub(others);
         let part = ask.want.min(self.fair_part(ask));
@@ -137,7 +137,7 @@
     /// Failure: a request is delayed until the loan that it speaks of has lapsed
     /// and was given to another. Counted from the echoed stamp, which was made
     /// before the request was sent, the loan must still be valid now.
-    fn kept(&self, ask: &Ask, settled: bool, now: Time) -> u32 {
+    fn kept(&self, ask: &LoanRequest, settled: bool, now: Time) -> u32 {
         if let Some(record) = self.records.get(&ask.from) {
             return record.amount.min(ask.keep);
         }
@@ -156,7 +156,7 @@
 
     /// The asking proxy's part of the pool: equal parts, where those that want
     /// less than theirs leave the rest to the others.
-    fn fair_part(&self, ask: &Ask) -> u32 {
+    fn fair_part(&self, ask: &LoanRequest) -> u32 {
         let mut wants: Vec<u32> = self.others(&ask.from).map(|r| r.want).collect();
         wants.push(ask.want);
         wants.sort_unstable();
--- a/crates/policy/tests/failover/fake/mod.rs
+++ b/crates/policy/tests/failover/fake/mod.rs
@@ -17,7 +17,7 @@
 use model::id::{GroupId, InstanceId};
 use model::settings::{Acknowledge, Settings};
 use model::unit::{Span, Time};
-use policy::message::{Ask, PeerView, Query, StoreAnswer, StoreAsk};
+use policy::message::{Ask, PeerReport, Query, StoreReply, StoreRequest};
 use policy::route::Failure;
 use policy::status::{Role, Status};
 use rand::rngs::SmallRng;
@@ -50,9 +50,9 @@
 pub(crate) enum Message {
     Ask(Who, Query, usize, Ask),
     Answer(Who, Query, Result<Status, Failure>),
-    StoreAsk(Who, Query, StoreAsk),
-    StoreAnswer(Who, Query, StoreAnswer),
-    View(usize, PeerView),
+    StoreRequest(Who, Query, StoreRequest),
+    StoreReply(Who, Query, StoreReply),
+    View(usize, PeerReport),
     Exec(Exec),
     Executed(Executed),
 }
@@ -260,8 +260,8 @@
         match flight.message {
             Message::Ask(who, query, at, ask) => self.answer(who, query, at, &ask),
             Message::Answer(who, query, result) => self.answered(who, query, result),
-            Message::StoreAsk(who, query, ask) => self.answer_store(who, query, ask),
-            Message::StoreAnswer(who, query, answer) => self.store_answered(who, query, answer),
+            Message::StoreRequest(who, query, ask) => self.answer_store(who, query, ask),
+            Message::StoreReply(who, query, answer) => self.store_answered(who, query, answer),
             Message::View(at, view) => self.viewed(at, view),
             Message::Exec(exec) => self.execute(exec),
             Message::Executed(done) => self.executed(done),
@@ -278,10 +278,10 @@
         self.send(at, home, Message::Answer(who, query, result));
     }
 
-    fn answer_store(&mut self, who: Who, query: Query, ask: StoreAsk) {
+    fn answer_store(&mut self, who: Who, query: Query, ask: StoreRequest) {
         let home = self.proxies[who.0].site;
         if let Some(answer) = self.store.take(ask, &mut self.rng) {
-            self.send(STORE_SITE, home, Message::StoreAnswer(who, query, answer));
+            self.send(STORE_SITE, home, Message::StoreReply(who, query, answer));
         }
     }
 
--- a/crates/policy/tests/failover/fake/proxy.rs
+++ b/crates/policy/tests/failover/fake/proxy.rs
@@ -4,7 +4,7 @@
 
 use model::id::ProxyId;
 use model::location::Location;
-use policy::message::{Action, Audience, Event, Peer, PeerView, Query, StoreAnswer};
+use policy::message::{Action, Event, Peer, PeerReport, Query, Recipients, StoreReply};
 use policy::node::{Input, Node};
 use policy::route::Failure;
 use policy::spec::Me;
@@ -141,7 +141,7 @@
                 self.send(site, to, Message::Ask(who, query, to, ask));
             }
             Action::Store { query, ask } => {
-                self.send(site, STORE_SITE, Message::StoreAsk(who, query, ask));
+                self.send(site, STORE_SITE, Message::StoreRequest(who, query, ask));
             }
             Action::Tell { to, view } => self.tell(at, &to, &view),
             Action::Routed { ticket, result } => self.routed(who, ticket, result),
@@ -150,11 +150,11 @@
         }
     }
 
-    fn tell(&mut self, from: usize, to: &Audience, view: &PeerView) {
+    fn tell(&mut self, from: usize, to: &Recipients, view: &PeerReport) {
         for at in 0..self.proxies.len() {
             let meant = match to {
-                Audience::All => at != from,
-                Audience::One(id) => self.proxies[at].id == *id,
+                Recipients::All => at != from,
+                Recipients::One(id) => self.proxies[at].id == *id,
             };
             if meant {
                 let (a, b) = (self.proxies[from].site, self.proxies[at].site);
@@ -163,7 +163,7 @@
         }
     }
 
-    pub(crate) fn viewed(&mut self, at: usize, view: PeerView) {
+    pub(crate) fn viewed(&mut self, at: usize, view: PeerReport) {
         self.event(at, Event::Peer(view));
     }
 
@@ -177,7 +177,7 @@
         }
     }
 
-    pub(crate) fn store_answered(&mut self, who: Who, query: Query, answer: StoreAnswer) {
+    pub(crate) fn store_answered(&mut self, who: Who, query: Query, answer: StoreReply) {
         if self.current(who) {
             self.event(who.0, Event::Store { query, answer });
         }
--- a/crates/policy/tests/failover/fake/store.rs
+++ b/crates/policy/tests/failover/fake/store.rs
@@ -1,7 +1,7 @@
 //! The platform's store, reduced to one record with its revision.
 
 use model::position::Revision;
-use policy::message::{StoreAnswer, StoreAsk, Versioned};
+use policy::message::{StoreReply, StoreRequest, Versioned};
 use rand::Rng as _;
 use rand::rngs::SmallRng;
 
@@ -17,23 +17,23 @@
 }
 
 impl Store {
-    pub(crate) fn take(&mut self, ask: StoreAsk, rng: &mut SmallRng) -> Option<StoreAnswer> {
+    pub(crate) fn take(&mut self, ask: StoreRequest, rng: &mut SmallRng) -> Option<StoreReply> {
         if self.down {
             return None;
         }
         let answer = match ask {
-            StoreAsk::Swap { expected, record } if expected == self.held.revision => {
+            StoreRequest::Swap { expected, record } if expected == self.held.revision => {
                 if record.primary.is_none() {
                     self.claims.push(record.term.0);
                 }
                 let revision = Revision(self.held.revision.0 + 1);
                 let record = Some(record);
                 self.held = Versioned { revision, record };
-                StoreAnswer::Swapped(revision)
+                StoreReply::Swapped(revision)
             }
-            StoreAsk::Read | StoreAsk::Swap { .. } => StoreAnswer::Found(self.held.clone()),
+            StoreRequest::Read | StoreRequest::Swap { .. } => StoreReply::Found(self.held.clone()),
         };
         let lost = rng.random_range(0..100) < self.lose;
-        Some(if lost { StoreAnswer::Unknown } else { answer })
+        Some(if lost { StoreReply::Unknown } else { answer })
     }
 }
--- a/crates/policy/tests/fleet/world.rs
+++ b/crates/policy/tests/fleet/world.rs
@@ -8,10 +8,10 @@
 use model::id::{DataCentre, ProxyId};
 use model::position::Revision;
 use model::unit::{Span, Time};
-use policy::config_mirror::{Adopter, Delta, Record};
-use policy::membership::Member;
+use policy::config_mirror::{ConfigMirror, Delta, Record};
+use policy::membership::Membership;
 use policy::membership::message::{Action, Compare, Failure, Heartbeat, Peer, Tables};
-use policy::membership::table::{News, State};
+use policy::membership::table::{MemberInfo, State};
 use rand::rngs::StdRng;
 use rand::{Rng as _, SeedableRng as _};
 
@@ -20,8 +20,8 @@
 const GIVE_UP: Span = Span::from_millis(500);
 
 pub(crate) struct Proxy {
-    pub(crate) member: Member,
-    pub(crate) adopter: Adopter,
+    pub(crate) member: Membership,
+    pub(crate) adopter: ConfigMirror,
     pub(crate) site: usize,
     pub(crate) alive: bool,
     pub(crate) paused_until: Time,
@@ -96,7 +96,7 @@
 
     pub(crate) fn start(&mut self, site: usize) -> usize {
         let at = self.proxies.len();
-        let me = News {
+        let me = MemberInfo {
             id: format!("p{at}").parse::<ProxyId>().unwrap(),
             data_centre: centre(site),
             address: address(at),
@@ -107,8 +107,8 @@
         };
         let seeds = (0..at).map(address).collect();
         self.proxies.push(Proxy {
-            member: Member::new(self.now, me, seeds, self.rng.random()),
-            adopter: Adopter::default(),
+            member: Membership::new(self.now, me, seeds, self.rng.random()),
+            adopter: ConfigMirror::default(),
             site,
             alive: true,
             paused_until: Time::default(),
--- a/crates/policy/tests/promote.rs
+++ b/crates/policy/tests/promote.rs
@@ -7,7 +7,7 @@
 use model::unit::{Span, Time};
 use policy::decision::Cause;
 use policy::leadership::Record;
-use policy::message::{Query, StoreAnswer, StoreAsk, Versioned};
+use policy::message::{Query, StoreReply, StoreRequest, Versioned};
 use policy::promote::{self, Attempt, Order, Progress, Step};
 use policy::spec::Spec;
 use policy::status::{Role, Status};
@@ -46,9 +46,9 @@
     }
 }
 
-fn found(revision: u64, record: Option<Record>) -> StoreAnswer {
+fn found(revision: u64, record: Option<Record>) -> StoreReply {
     let revision = Revision(revision);
-    StoreAnswer::Found(Versioned { revision, record })
+    StoreReply::Found(Versioned { revision, record })
 }
 
 /// An attempt of p1 with nonce 7 whose claim of term 2 is under way as query 1.
@@ -57,7 +57,10 @@
     let known = Versioned::default();
     let mut attempt = Attempt::new(NOW, &me, Cause::Unreachable, Some(&known), Term(1), 7);
     let orders = attempt.orders(NOW, &spec(None));
-    assert!(matches!(&orders[..], [Order::Store(StoreAsk::Swap { .. })]));
+    assert!(matches!(
+        &orders[..],
+        [Order::Store(StoreRequest::Swap { .. })]
+    ));
     attempt.note_store(NOW, Query(1));
     attempt
 }
@@ -67,7 +70,7 @@
 #[test]
 fn a_lost_claim_is_not_taken_for_a_won_one() {
     let mut attempt = claiming();
-    assert_eq!(attempt.store(NOW, Query(1), StoreAnswer::Unknown), None);
+    assert_eq!(attempt.store(NOW, Query(1), StoreReply::Unknown), None);
     attempt.note_store(NOW, Query(2));
     let other = found(1, Some(record("p2", 8)));
     let progress = attempt.store(NOW, Query(2), other);
@@ -79,7 +82,7 @@
 #[test]
 fn a_claim_whose_answer_was_lost_is_recognised() {
     let mut attempt = claiming();
-    attempt.store(NOW, Query(1), StoreAnswer::Unknown);
+    attempt.store(NOW, Query(1), StoreReply::Unknown);
     attempt.note_store(NOW, Query(2));
     let own = found(1, Some(record("p1", 7)));
     let progress = attempt.store(NOW, Query(2), own);
@@ -91,11 +94,11 @@
 #[test]
 fn a_claim_without_effect_is_sent_again() {
     let mut attempt = claiming();
-    attempt.store(NOW, Query(1), StoreAnswer::Unknown);
+    attempt.store(NOW, Query(1), StoreReply::Unknown);
     attempt.note_store(NOW, Query(2));
     attempt.store(NOW, Query(2), found(0, None));
     assert_eq!(attempt.step, Step::Claiming);
-    let late = attempt.store(NOW, Query(1), StoreAnswer::Swapped(Revision(1)));
+    let late = attempt.store(NOW, Query(1), StoreReply::Swapped(Revision(1)));
     assert_eq!(late, Some(Progress::Claimed));
 }
 
@@ -105,7 +108,7 @@
 fn one_term_never_has_a_second_choice() {
     let spec = spec(None);
     let mut attempt = claiming();
-    attempt.store(NOW, Query(1), StoreAnswer::Swapped(Revision(1)));
+    attempt.store(NOW, Query(1), StoreReply::Swapped(Revision(1)));
     for id in ["i1", "i2"] {
         attempt.observe(NOW, &spec, &id.parse().unwrap(), &fenced("1:0", 5));
     }
--- a/crates/policy/tests/world/mod.rs
+++ b/crates/policy/tests/world/mod.rs
@@ -2,7 +2,9 @@
 
 use model::id::{InstanceId, ProxyId};
 use model::unit::{Span, Time};
-use policy::share::{Answer, Ask, Borrower, Demand, LEASE_MARGIN_DIVISOR, Lender, Terms};
+use policy::share::{
+    Borrower, Demand, LEASE_MARGIN_DIVISOR, Lender, LoanRequest, LoanResponse, Terms,
+};
 
 /// Proxies alive at once.
 pub(crate) const PROXIES: usize = 7;
@@ -21,8 +23,8 @@
 
 #[derive(Clone, Debug)]
 enum Body {
-    Ask(Ask),
-    Answer(Answer),
+    Ask(LoanRequest),
+    Answer(LoanResponse),
 }
 
 #[derive(Clone, Debug)]
--- a/crates/proxy/src/control.rs
+++ b/crates/proxy/src/control.rs
@@ -12,8 +12,8 @@
 use peer::server::Routes;
 use policy::config_mirror::Record;
 use policy::leadership;
-use policy::membership::table::News;
-use policy::message::{Audience, Peer, PeerView, Versioned};
+use policy::membership::table::MemberInfo;
+use policy::message::{Peer, PeerReport, Recipients, Versioned};
 
 use crate::config::Config;
 use crate::cx::Cx;
@@ -48,7 +48,7 @@
     routes: Routes,
     told: flume::Receiver<Told>,
     /// Takes views of groups to be told to peers.
-    pub tell: flume::Sender<(Audience, PeerView)>,
+    pub tell: flume::Sender<(Recipients, PeerReport)>,
 }
 
 /// The control side of a serving process.
@@ -172,7 +172,7 @@
     }
 }
 
-fn live(news: &News) -> (ProxyId, share::Live) {
+fn live(news: &MemberInfo) -> (ProxyId, share::Live) {
     let live = share::Live {
         data_centre: news.data_centre.clone(),
         address: news.address,
@@ -181,7 +181,7 @@
 }
 
 /// The running proxies with their places; one in an undeclared data centre has none.
-fn peers(cx: &Cx, running: Vec<News>) -> Vec<Peer> {
+fn peers(cx: &Cx, running: Vec<MemberInfo>) -> Vec<Peer> {
     let fleet = &cx.fleet.current().fleet;
     let peers = running.into_iter().filter_map(|news| {
         let location = fleet.location(&news.data_centre)?;
--- a/crates/proxy/src/cx.rs
+++ b/crates/proxy/src/cx.rs
@@ -17,7 +17,7 @@
 use pg::classify;
 use pg::startup::Key;
 use policy::admission::Limits;
-use policy::message::{Audience, Peer, PeerView, Versioned};
+use policy::message::{Peer, PeerReport, Recipients, Versioned};
 use policy::retry;
 use policy::route::Target;
 use policy::slots::Share;
@@ -60,7 +60,7 @@
     pub tracer: Tracer,
     /// Held once by each caller connection: its count bounds them.
     pub(crate) callers: Rc<()>,
-    tell: flume::Sender<(Audience, PeerView)>,
+    tell: flume::Sender<(Recipients, PeerReport)>,
     live: RefCell<Vec<Peer>>,
     groups: RefCell<IndexMap<GroupId, Rc<GroupCx>>>,
 }
@@ -73,7 +73,7 @@
     pub(crate) relay: relay::Handle,
     pub(crate) tls: Option<TlsAcceptor>,
     pub(crate) store: store::client::Client,
-    pub(crate) tell: flume::Sender<(Audience, PeerView)>,
+    pub(crate) tell: flume::Sender<(Recipients, PeerReport)>,
     pub(crate) metrics: Metrics,
     pub(crate) tracer: Tracer,
 }
@@ -173,7 +173,7 @@
     }
 
     /// Hands a peer's view to its group, if this process serves it.
-    pub fn peer_view(&self, view: PeerView) {
+    pub fn peer_view(&self, view: PeerReport) {
         if let Some(known) = self.groups.borrow().get(&view.group) {
             known.routes.peer_view(view);
         }
--- a/crates/proxy/src/group.rs
+++ b/crates/proxy/src/group.rs
@@ -19,7 +19,7 @@
 use model::unit::{Span, Time};
 use policy::decision::Decision;
 use policy::group::Lead;
-use policy::message::{Audience, Peer, PeerView, Versioned};
+use policy::message::{Peer, PeerReport, Recipients, Versioned};
 use policy::route::{Failure, ReadNeed, Refusal, Target, Unconfirmed};
 use policy::status::Observed;
 
@@ -55,7 +55,7 @@
 /// News from other proxies and from the store's watch.
 enum Told {
     Peers(Vec<Peer>),
-    View(PeerView),
+    View(PeerReport),
     Record(Versioned),
 }
 
@@ -90,7 +90,7 @@
     /// The platform's store, which keeps the leadership record.
     pub store: store::client::Client,
     /// Views that other proxies are to be told.
-    pub tell: flume::Sender<(Audience, PeerView)>,
+    pub tell: flume::Sender<(Recipients, PeerReport)>,
     /// Starts the spans of changes of primary.
     pub tracer: Tracer,
     /// Source of the controller's randomness.
@@ -213,7 +213,7 @@
     }
 
     /// Hands over another proxy's view of the group.
-    pub fn peer_view(&self, view: PeerView) {
+    pub fn peer_view(&self, view: PeerReport) {
         let _ = self.tx.send(Request::Told(Told::View(view)));
     }
 
--- a/crates/proxy/src/group/task.rs
+++ b/crates/proxy/src/group/task.rs
@@ -9,7 +9,7 @@
 use policy::decision::{Decision, Phase, What};
 use policy::group::{self, Group};
 use policy::leadership;
-use policy::message::{Action, Ask, Event, Query, StoreAnswer, StoreAsk, Ticket};
+use policy::message::{Action, Ask, Event, Query, StoreReply, StoreRequest, Ticket};
 use policy::route::{Refusal, Target, Unconfirmed};
 use policy::spec::{Me, Spec};
 
@@ -30,7 +30,7 @@
 /// Answers that come back to the task.
 enum Inner {
     Instance(Answer),
-    Store(Query, StoreAnswer),
+    Store(Query, StoreReply),
 }
 
 enum Caller {
@@ -52,7 +52,7 @@
     /// Who waits for a primary of a later term than this.
     waiting: Vec<(Term, flume::Sender<()>)>,
     instances: flume::Sender<Answer>,
-    stores: flume::Sender<(Query, StoreAnswer)>,
+    stores: flume::Sender<(Query, StoreReply)>,
 }
 
 /// Serves requests until every handle is gone.
@@ -106,7 +106,7 @@
 async fn next(
     rx: &flume::Receiver<Request>,
     answers: &flume::Receiver<Answer>,
-    stored: &flume::Receiver<(Query, StoreAnswer)>,
+    stored: &flume::Receiver<(Query, StoreReply)>,
     left: Duration,
 ) -> Option<Result<Input, flume::RecvError>> {
     if left.is_zero() {
@@ -368,7 +368,7 @@
         &self.setup.tracer
     }
 
-    fn ask_store(&self, query: Query, ask: StoreAsk) {
+    fn ask_store(&self, query: Query, ask: StoreRequest) {
         let key = leadership::key(&self.setup.group);
         let trace = self.trace;
         let span = trace.map(|trace| self.tracer().within("store", Side::Client, trace));
@@ -379,7 +379,7 @@
             let mut span = span;
             span.set("key", &key);
             let answer = record::ask(&store, &key, ask).await;
-            if answer == StoreAnswer::Unknown {
+            if answer == StoreReply::Unknown {
                 compio::time::sleep(STORE_PAUSE).await;
             }
             let _ = tx.send((query, answer));
--- a/crates/proxy/src/http.rs
+++ b/crates/proxy/src/http.rs
@@ -17,7 +17,7 @@
 use http::{StatusCode, header};
 use model::id::GroupId;
 use peer::status::{EXPLAIN, Group, Member, PATH, Status};
-use policy::membership::table::{News, State};
+use policy::membership::table::{MemberInfo, State};
 
 use crate::cx::Cx;
 use crate::member::{self, Nothing, OWN, Own};
@@ -159,7 +159,7 @@
     })
 }
 
-async fn own(members: &member::Handle, news: &News) -> Option<model::position::Revision> {
+async fn own(members: &member::Handle, news: &MemberInfo) -> Option<model::position::Revision> {
     if news.state == State::Gone {
         return None;
     }
@@ -168,7 +168,7 @@
     Some(own.await.ok()?.revision)
 }
 
-fn member_row(news: &News, revision: model::position::Revision) -> Member {
+fn member_row(news: &MemberInfo, revision: model::position::Revision) -> Member {
     Member {
         proxy: news.id.clone(),
         data_centre: news.data_centre.clone(),
--- a/crates/proxy/src/member.rs
+++ b/crates/proxy/src/member.rs
@@ -12,8 +12,8 @@
 use peer::server::{Call, Routes, Traffic};
 use policy::config_mirror::{Delta, Record};
 use policy::membership::message::{Compare, Heartbeat, Tables};
-use policy::membership::table::News;
-use policy::message::{Audience, PeerView};
+use policy::membership::table::MemberInfo;
+use policy::message::{PeerReport, Recipients};
 
 use crate::fleet;
 use crate::trace::Tracer;
@@ -70,16 +70,16 @@
     /// Starts the spans of exchanges with peers.
     pub tracer: Tracer,
     /// Views of groups to tell others.
-    pub views: flume::Receiver<(Audience, PeerView)>,
+    pub views: flume::Receiver<(Recipients, PeerReport)>,
 }
 
 /// What other tasks hear of.
 #[derive(Clone, Debug)]
 pub enum Told {
     /// The running proxies changed.
-    Peers(Vec<News>),
+    Peers(Vec<MemberInfo>),
     /// A peer's view of a group.
-    View(PeerView),
+    View(PeerReport),
     /// A record of the store that is not part of the configuration.
     Record(Record),
 }
@@ -88,9 +88,9 @@
 #[derive(Clone, Debug)]
 pub struct Snapshot {
     /// This proxy.
-    pub me: News,
+    pub me: MemberInfo,
     /// Every proxy that is known, this one included.
-    pub members: Vec<News>,
+    pub members: Vec<MemberInfo>,
     /// Whether this proxy holds its data centre's watch on the store.
     pub watching: bool,
     /// Revision up to which every record is known.
@@ -108,7 +108,7 @@
     beats: flume::Receiver<Call<Heartbeat, Heartbeat>>,
     compares: flume::Receiver<Call<Compare, Tables>>,
     fetches: flume::Receiver<Call<Fetch, Delta>>,
-    views: flume::Receiver<Call<PeerView, Nothing>>,
+    views: flume::Receiver<Call<PeerReport, Nothing>>,
     owns: flume::Receiver<Call<Nothing, Own>>,
 }
 
--- a/crates/proxy/src/member/exchange.rs
+++ b/crates/proxy/src/member/exchange.rs
@@ -87,7 +87,7 @@
     }
 
     /// Tells a view; the sender repeats it while it matters.
-    pub(super) fn tell(&self, address: SocketAddr, view: policy::message::PeerView) {
+    pub(super) fn tell(&self, address: SocketAddr, view: policy::message::PeerReport) {
         let client = self.client.clone();
         compio::runtime::spawn(async move {
             let answer = client.call(address, VIEW, &view, BEAT_LIMIT, None);
--- a/crates/proxy/src/member/task.rs
+++ b/crates/proxy/src/member/task.rs
@@ -6,11 +6,11 @@
 
 use model::unit::{Span, Time};
 use peer::server::Call;
-use policy::config_mirror::{Adopter, Change, Delta};
-use policy::membership::Member;
+use policy::config_mirror::{Change, ConfigMirror, Delta};
+use policy::membership::Membership;
 use policy::membership::message::{Action, Heartbeat};
-use policy::membership::table::{News, State};
-use policy::message::{Audience, PeerView};
+use policy::membership::table::{MemberInfo, State};
+use policy::message::{PeerReport, Recipients};
 
 use super::exchange::{End, Exchanges};
 use super::watch::{self, Seen};
@@ -30,8 +30,8 @@
     setup: Setup,
     /// Zero of the controller's clock.
     epoch: Instant,
-    member: Member,
-    adopter: Adopter,
+    member: Membership,
+    adopter: ConfigMirror,
     exchanges: Exchanges,
     told: flume::Sender<Told>,
     seen_tx: flume::Sender<Seen>,
@@ -44,9 +44,9 @@
     Beat(Call<Heartbeat, Heartbeat>),
     Compare(Call<policy::membership::message::Compare, policy::membership::message::Tables>),
     Fetch(Call<Fetch, Delta>),
-    View(Call<PeerView, Nothing>),
+    View(Call<PeerReport, Nothing>),
     Own(Call<Nothing, Own>),
-    Tell(Audience, PeerView),
+    Tell(Recipients, PeerReport),
     End(End),
     Seen(Seen),
     Vms(Vec<SocketAddr>),
@@ -69,12 +69,12 @@
         compio::runtime::spawn(read_vms(setup.store.clone(), url, port, vms_tx)).detach();
     }
     let (me, seeds) = (news_of_self(&setup), setup.seeds.clone());
-    let member = Member::new(Time::default(), me, seeds, rand::random());
+    let member = Membership::new(Time::default(), me, seeds, rand::random());
     let views = setup.views.clone();
     let mut task = Task {
         epoch: Instant::now(),
         member,
-        adopter: Adopter::default(),
+        adopter: ConfigMirror::default(),
         exchanges: Exchanges {
             client,
             ends: ends_tx,
@@ -114,8 +114,8 @@
     }
 }
 
-fn news_of_self(setup: &Setup) -> News {
-    News {
+fn news_of_self(setup: &Setup) -> MemberInfo {
+    MemberInfo {
         id: setup.id.clone(),
         data_centre: setup.data_centre.clone(),
         address: setup.address,
@@ -255,12 +255,12 @@
     fn merge(&mut self, now: Time, delta: Delta) {
         for change in self.adopter.merge(delta) {
             match change {
-                Change::Adopted(snapshot) => {
+                Change::Applied(snapshot) => {
                     tracing::info!(revision = %snapshot.revision, "configuration in force");
                     self.setup.fleet.set(snapshot);
                     self.tell_peers();
                 }
-                Change::Refused(revision, cause) => {
+                Change::Rejected(revision, cause) => {
                     tracing::error!(%revision, %cause, "configuration refused");
                 }
                 Change::Record(record) => {
@@ -321,11 +321,11 @@
         let _ = self.told.send(Told::Peers(running.collect()));
     }
 
-    fn tell(&self, to: &Audience, view: &PeerView) {
+    fn tell(&self, to: &Recipients, view: &PeerReport) {
         let me = &self.setup.id;
-        let wanted = |news: &&News| match to {
-            Audience::All => news.id != *me,
-            Audience::One(id) => news.id == *id,
+        let wanted = |news: &&MemberInfo| match to {
+            Recipients::All => news.id != *me,
+            Recipients::One(id) => news.id == *id,
         };
         for news in self.member.table().running().filter(wanted) {
             self.exchanges.tell(news.address, view.clone());
--- a/crates/proxy/src/share.rs
+++ b/crates/proxy/src/share.rs
@@ -10,7 +10,7 @@
 use indexmap::IndexMap;
 use model::id::{DataCentre, InstanceId, ProxyId};
 use peer::server::Call;
-use policy::share::{Answer, Ask};
+use policy::share::{LoanRequest, LoanResponse};
 
 use crate::{admit, fleet, pool};
 
@@ -18,10 +18,10 @@
 pub const PATH: &str = "/peer/share";
 
 /// Requests of one proxy for every backend server that the asked one lends.
-pub type Asks = Vec<Ask>;
+pub type Asks = Vec<LoanRequest>;
 
 /// Answers to those that did not come late.
-pub type Answers = Vec<Answer>;
+pub type Answers = Vec<LoanResponse>;
 
 /// What the task is started with.
 pub struct Setup {
--- a/crates/proxy/src/share/task.rs
+++ b/crates/proxy/src/share/task.rs
@@ -132,7 +132,7 @@
 
     fn lend(&mut self, asks: &Asks) -> Answers {
         let now = self.now();
-        let answer = |ask: &share::Ask| {
+        let answer = |ask: &share::LoanRequest| {
             let server = self.servers.get_mut(&ask.instance)?;
             server.lender.ask(ask, now)
         };
@@ -281,7 +281,11 @@
     }
 
     /// The next request about a backend server, when one is due.
-    async fn ask(&mut self, instance: &InstanceId, queued: u32) -> Option<(ProxyId, share::Ask)> {
+    async fn ask(
+        &mut self,
+        instance: &InstanceId,
+        queued: u32,
+    ) -> Option<(ProxyId, share::LoanRequest)> {
         let now = self.now();
         let place = self.servers.get(instance)?.data_centre.clone();
         let lender = self.lender(&place)?.clone();
--- a/crates/proxy/tests/group/bed.rs
+++ b/crates/proxy/tests/group/bed.rs
@@ -8,7 +8,7 @@
 use model::position::Point;
 use model::unit::Span;
 use policy::decision::{Phase, What};
-use policy::message::{Audience, Peer, PeerView};
+use policy::message::{Peer, PeerReport, Recipients};
 use policy::route::{Failure, Target};
 use proxy::admit;
 use proxy::group::{self, Handle, Setup};
@@ -144,11 +144,11 @@
 }
 
 /// Passes views on, as the links between proxies do.
-async fn carry(outbox: flume::Receiver<(Audience, PeerView)>, others: Vec<(ProxyId, Handle)>) {
+async fn carry(outbox: flume::Receiver<(Recipients, PeerReport)>, others: Vec<(ProxyId, Handle)>) {
     while let Ok((to, view)) = outbox.recv_async().await {
         let meant = |id: &ProxyId| match &to {
-            Audience::All => true,
-            Audience::One(one) => one == id,
+            Recipients::All => true,
+            Recipients::One(one) => one == id,
         };
         for (_, handle) in others.iter().filter(|(id, _)| meant(id)) {
             handle.peer_view(view.clone());
