--- a/crates/front/src/group.rs
+++ b/crates/front/src/group.rs
@@ -14,10 +14,10 @@
 use model::id::{GroupId, InstanceId};
 use model::position::Point;
 use model::unit::{Span, Time};
-use policy::pool::{self, Action, Ask, Grant, OpenFault, Pool, Refused};
+use policy::pool::{self, Action, ConnRequest, Grant, OpenFault, Pool, Refused};
+use policy::primary_monitor::PrimaryMonitor;
 use policy::proof::Proof;
-use policy::receipt::Replica;
-use policy::watch::Watch;
+use policy::replica_ack::Replica;
 
 use crate::changes::Changes;
 use crate::clock;
@@ -47,7 +47,7 @@
 
 /// A message to the group's task.
 enum Message {
-    Ask(Ask, Reply),
+    Ask(ConnRequest, Reply),
     GiveBack(Returned),
     Opened(InstanceId, Result<Conn, OpenFault>),
     /// Announced instances, and since when they may have been so.
@@ -127,7 +127,7 @@
 struct Group {
     id: Rc<GroupId>,
     pool: Pool<Conn, Reply>,
-    watch: Watch,
+    watch: PrimaryMonitor,
     /// Whether this proxy holds connections of its own.
     own: bool,
     /// Whether it is known who holds connections.
@@ -155,7 +155,7 @@
     let task = Group {
         id: id.clone(),
         pool: Pool::new().by_age(Conn::opened),
-        watch: Watch::default(),
+        watch: PrimaryMonitor::default(),
         own: true,
         shared: false,
         ways,
@@ -338,7 +338,7 @@
         let others = self.pool.instances().filter(|i| Some(i.id()) != primary);
         let replica = |i: &pool::Instance<Conn>| Replica {
             id: i.id().clone(),
-            way: self.ways.round_trip(&i.entry().data_centre),
+            round_trip: self.ways.round_trip(&i.entry().data_centre),
             leaving: i.entry().leaving,
         };
         others.map(replica).collect()
@@ -357,8 +357,8 @@
         self.prepare_at = now + PREPARE_PAUSE;
         let actions = self.pool.connect(now);
         self.act(actions);
-        let counts = |opened| self.changes.counts(&self.id, opened);
-        if !self.pool.oldest().all(counts) {
+        let is_eligible = |opened| self.changes.is_eligible(&self.id, opened);
+        if !self.pool.oldest().all(is_eligible) {
             self.changes.refresh();
         }
     }
@@ -367,7 +367,7 @@
     fn voice(&self, now: Time) {
         let lags_for = self.pool.lags_for(now);
         let concern = Concern {
-            doubt: self.watch.doubt(now),
+            doubt: self.watch.suspicion(now),
             lags: lags_for.is_some_and(|lags| lags >= LAGS),
         };
         self.board.set_own(&self.id, concern);
--- a/crates/front/src/relay/client.rs
+++ b/crates/front/src/relay/client.rs
@@ -9,11 +9,11 @@
 use model::id::{GroupId, ProxyId};
 use model::position::Revision;
 use model::unit::{Span, Time};
-use policy::borrow;
-use policy::pool::{Ask, Refused};
-use policy::receipt::Write;
+use policy::pool::{ConnRequest, Refused};
+use policy::pooler_retry;
+use policy::replica_ack::Write;
 use store::client::TIME_LIMIT;
-use store::mirror::News;
+use store::mirror::Update;
 
 use super::{FromCarrier, HEARD, Returned, ToCarrier, decode, encode, to_wire};
 use crate::clock;
@@ -57,7 +57,7 @@
     /// The statement is refused; another carrier would not do better.
     Refused(Refused),
     /// Another carrier may be asked.
-    Elsewhere(borrow::Miss),
+    Elsewhere(pooler_retry::GrantFailure),
 }
 
 /// Connections to carriers.
@@ -85,12 +85,12 @@
         carrier: &ProxyId,
         address: SocketAddr,
         group: &GroupId,
-        ask: &Ask,
+        ask: &ConnRequest,
     ) -> Result<Lent, Miss> {
         let now = clock::now();
         let until = self.0.passed_over.borrow().get(carrier).copied();
         if until.is_some_and(|until| now < until) {
-            return Err(Miss::Elsewhere(borrow::Miss::Silent));
+            return Err(Miss::Elsewhere(pooler_retry::GrantFailure::Silent));
         }
         let idle = self.take_idle(carrier);
         let reused = idle.is_some();
@@ -107,7 +107,7 @@
                 let until = clock::now() + PASS_OVER;
                 let mut passed_over = self.0.passed_over.borrow_mut();
                 passed_over.insert(carrier.clone(), until);
-                Miss::Elsewhere(borrow::Miss::Silent)
+                Miss::Elsewhere(pooler_retry::GrantFailure::Silent)
             }
         })
     }
@@ -141,7 +141,7 @@
         address: SocketAddr,
         after: Revision,
         wait: Span,
-    ) -> Option<News> {
+    ) -> Option<Update> {
         let request = ToCarrier::Follow { after, wait };
         let idle = self.take_idle(reader);
         let reused = idle.is_some();
@@ -207,7 +207,7 @@
         address: SocketAddr,
         request: &ToCarrier,
         wait: Span,
-    ) -> Result<Option<News>, FollowError> {
+    ) -> Result<Option<Update>, FollowError> {
         let mut conn = match conn {
             Some(conn) => conn,
             None => connect(address).await?,
@@ -251,9 +251,10 @@
         carrier: &ProxyId,
         address: SocketAddr,
         group: &GroupId,
-        ask: &Ask,
+        ask: &ConnRequest,
     ) -> Result<Lent, Trouble> {
-        let request = to_wire(group, ask).ok_or(Trouble::Elsewhere(borrow::Miss::OutOfReach))?;
+        let request = to_wire(group, ask)
+            .ok_or(Trouble::Elsewhere(pooler_retry::GrantFailure::Unreachable))?;
         let mut conn = match conn {
             Some(conn) => conn,
             None => connect(address).await.map_err(Trouble::Broken)?,
@@ -297,9 +298,9 @@
     ) -> Result<Lent, Trouble> {
         self.keep(carrier, conn);
         Err(Trouble::Elsewhere(match answer {
-            FromCarrier::Starting => borrow::Miss::Starting,
-            FromCarrier::OutOfReach => borrow::Miss::OutOfReach,
-            _ => borrow::Miss::Stopping,
+            FromCarrier::Starting => pooler_retry::GrantFailure::Starting,
+            FromCarrier::OutOfReach => pooler_retry::GrantFailure::Unreachable,
+            _ => pooler_retry::GrantFailure::Stopping,
         }))
     }
 
@@ -382,7 +383,7 @@
 /// Why one try brought no loan.
 enum Trouble {
     Refused(Refused),
-    Elsewhere(borrow::Miss),
+    Elsewhere(pooler_retry::GrantFailure),
     Broken(ConnError),
 }
 
--- a/crates/front/src/run.rs
+++ b/crates/front/src/run.rs
@@ -9,7 +9,7 @@
 use compio::net::TcpListener;
 use futures_util::FutureExt as _;
 use model::unit::Span;
-use policy::carry::Proxy;
+use policy::pooler::Proxy;
 use store::calls::Purpose;
 use store::client::Client;
 
@@ -82,7 +82,7 @@
         cx: cx.clone(),
         directory,
         member: member.clone(),
-        store: store.counted_for(Purpose::Note),
+        store: store.counted_for(Purpose::Intents),
         orders,
         last: Rc::default(),
         named: Default::default(),
--- a/crates/load/src/placement.rs
+++ b/crates/load/src/placement.rs
@@ -5,9 +5,9 @@
 use clap::{ArgMatches, Command};
 use indexmap::IndexMap;
 use model::id::{GroupId, ProxyId};
-use model::place::Place;
+use model::location::Location;
 use policy::message::Peer;
-use policy::place::{self, Homes};
+use policy::placement::{self, Homes};
 
 use crate::report::Table;
 
@@ -52,7 +52,7 @@
     let mut placed = 0;
     let start = Instant::now();
     for n in 0..groups {
-        for server in place::servers(&group(n), &homes(centres, n), &live) {
+        for server in placement::servers(&group(n), &homes(centres, n), &live) {
             *load.entry(&server.id).or_default() += 1;
             placed += 1;
         }
@@ -73,12 +73,12 @@
 fn proxy(centre: usize, n: usize) -> Peer {
     Peer {
         id: format!("proxy-{n}").parse().expect("an identifier"),
-        place: place_of(centre),
+        location: place_of(centre),
     }
 }
 
-fn place_of(centre: usize) -> Place {
-    Place {
+fn place_of(centre: usize) -> Location {
+    Location {
         region: format!("region-{}", centre / REGION)
             .parse()
             .expect("an identifier"),
--- a/crates/model/src/config.rs
+++ b/crates/model/src/config.rs
@@ -5,7 +5,7 @@
 use indexmap::IndexMap;
 
 use crate::id::{CallerId, Class, DataCentre, GroupId, InstanceId, Region};
-use crate::place::Place;
+use crate::location::Location;
 use crate::settings::{Patch, Settings};
 
 /// Shortest reason that an exception may state, in characters.
@@ -167,7 +167,7 @@
 
 impl Problem {
     /// What an operator can do about it.
-    pub fn mend(&self) -> &'static str {
+    pub fn hint(&self) -> &'static str {
         match self {
             Self::UnknownDataCentre(_) => "declare it under data_centres, or correct the name",
             Self::UnknownGroup(_) => "declare it under groups, or correct the name",
@@ -199,7 +199,7 @@
             "{}: {} ({})",
             self.path.join("."),
             self.problem,
-            self.problem.mend()
+            self.problem.hint()
         )
     }
 }
@@ -215,9 +215,9 @@
     }
 
     /// The place of a data centre, if it is declared.
-    pub fn place(&self, data_centre: &DataCentre) -> Option<Place> {
+    pub fn location(&self, data_centre: &DataCentre) -> Option<Location> {
         let region = self.data_centres.get(data_centre)?.clone();
-        Some(Place {
+        Some(Location {
             region,
             data_centre: data_centre.clone(),
         })
--- a/crates/policy/src/group.rs
+++ b/crates/policy/src/group.rs
@@ -18,16 +18,17 @@
 
 use crate::confirm::{self, Confirm};
 use crate::decision::{Decision, Fact, Phase, Ring, Trace, What};
-use crate::fresh::Freshness;
+use crate::failure_detector::{Heard, Reach, Verdict};
+use crate::freshness::Freshness;
 use crate::message::{
-    Action, Ask, Audience, Channel, Event, Peer, PeerView, Query, StoreAsk, Ticket, Versioned,
+    Action, Ask, Channel, Event, Peer, PeerReport, Query, Recipients, StoreRequest, Ticket,
+    Versioned,
 };
 use crate::poll::{Kind, Open, Poll};
 use crate::promote::Attempt;
 use crate::read::Load;
 use crate::spec::{Me, Spec};
 use crate::status::Observed;
-use crate::suspect::{Heard, Reach, Verdict};
 use waiting::Waiting;
 
 /// Span within which a step at most must follow the last one, so that retries and
@@ -329,19 +330,19 @@
         });
     }
 
-    fn ask_store(&mut self, ask: StoreAsk) -> Query {
+    fn ask_store(&mut self, ask: StoreRequest) -> Query {
         let query = self.query();
         self.out.push(Action::Store { query, ask });
         query
     }
 
-    fn tell(&mut self, to: Audience, asks: bool) {
+    fn tell(&mut self, to: Recipients, asks: bool) {
         let reach = self.lead.primary.as_ref().and_then(|p| self.reach.get(p));
         let reach = reach.copied().unwrap_or_default();
-        let view = PeerView {
+        let view = PeerReport {
             group: self.spec.group.clone(),
             proxy: self.me.id.clone(),
-            place: self.me.place.clone(),
+            location: self.me.location.clone(),
             term: self.lead.term,
             primary: self.lead.primary.clone(),
             heard: reach.age(self.now),
--- a/crates/policy/src/group/answer.rs
+++ b/crates/policy/src/group/answer.rs
@@ -5,11 +5,11 @@
 
 use super::Group;
 use crate::decision::{Fact, Phase, What};
-use crate::message::{Audience, PeerView, Query, StoreAnswer, Versioned};
+use crate::failure_detector::Heard;
+use crate::message::{PeerReport, Query, Recipients, StoreReply, Versioned};
 use crate::promote::{Choice, Progress};
 use crate::route::Failure;
 use crate::status::{Observed, Status};
-use crate::suspect::Heard;
 
 impl Group {
     pub(super) fn take_answer(&mut self, query: Query, result: Result<Status, Failure>) {
@@ -63,10 +63,10 @@
         self.progress(progress);
     }
 
-    pub(super) fn take_store(&mut self, query: Query, answer: StoreAnswer) {
+    pub(super) fn take_store(&mut self, query: Query, answer: StoreReply) {
         if self.reading.is_some_and(|(q, _)| q == query) {
             self.reading = None;
-            if let StoreAnswer::Found(found) = answer {
+            if let StoreReply::Found(found) = answer {
                 self.take_record(found);
             }
             return;
@@ -101,13 +101,13 @@
         }
     }
 
-    pub(super) fn take_view(&mut self, view: PeerView) {
+    pub(super) fn take_view(&mut self, view: PeerReport) {
         if let Some(primary) = &view.primary {
             self.learn(view.term, primary);
         }
         let behind = view.term < self.lead.term;
         if view.asks || behind {
-            self.tell(Audience::One(view.proxy.clone()), false);
+            self.tell(Recipients::One(view.proxy.clone()), false);
         }
         let at = self.now;
         self.views.insert(view.proxy.clone(), Heard { view, at });
@@ -135,7 +135,7 @@
                 );
                 self.change.trace = trace;
                 // The status that shows it led to `learn` already.
-                self.tell(Audience::All, false);
+                self.tell(Recipients::All, false);
             }
             Progress::Published(primary, versioned) => {
                 self.ended(Phase::Publish, What::Published(primary), vec![], vec![]);
@@ -174,8 +174,9 @@
     fn outrun(&mut self, found: Versioned) {
         let attempt = self.attempt.take();
         let record = found.record.clone();
-        let finished = |r: &crate::lead::Record| r.primary.is_some() && r.term <= self.lead.term;
-        let own = |r: &crate::lead::Record| r.claimant == self.me.id;
+        let finished =
+            |r: &crate::leadership::Record| r.primary.is_some() && r.term <= self.lead.term;
+        let own = |r: &crate::leadership::Record| r.claimant == self.me.id;
         let over = record.as_ref().is_none_or(|r| finished(r) || own(r));
         if let (false, Some(record), Some(attempt)) = (over, &record, attempt) {
             let what = What::Outrun(record.claimant.clone());
--- a/crates/policy/src/group/drive.rs
+++ b/crates/policy/src/group/drive.rs
@@ -6,11 +6,11 @@
 
 use super::Group;
 use crate::decision::{Cause, Fact, Phase, What};
-use crate::message::{Ask, Audience, Channel, Peer, StoreAsk};
+use crate::failure_detector::{Verdict, View};
+use crate::message::{Ask, Channel, Peer, Recipients, StoreRequest};
 use crate::poll::{self, Due};
 use crate::promote::{Attempt, Order};
 use crate::rank;
-use crate::suspect::{Verdict, View};
 
 /// Head start of each proxy over the next one in rank. It covers claim and fence over
 /// 20 ms between regions, so that the next one usually sees the fence and holds back.
@@ -33,7 +33,7 @@
 const READ_AGAIN: Span = Span::from_millis(500);
 
 /// Longest single wait of an instance for a position; afterwards it is asked anew, so that
-/// a lost answer does not hold up a confirmation. It lies well below [`crate::suspect::DOUBT_AFTER`]
+/// a lost answer does not hold up a confirmation. It lies well below [`crate::failure_detector::DOUBT_AFTER`]
 /// because status questions queue behind it on the same connection.
 const WAIT: Span = Span::from_millis(50);
 
@@ -61,7 +61,7 @@
         if self.reading.is_some_and(|(_, at)| open(at)) {
             return;
         }
-        let query = self.ask_store(StoreAsk::Read);
+        let query = self.ask_store(StoreRequest::Read);
         self.reading = Some((query, self.now));
     }
 
@@ -99,7 +99,7 @@
         let told = self.told.is_some_and(|at| self.now.since(at) < poll::DOUBT);
         if doubt && !told {
             self.told = Some(self.now);
-            self.tell(Audience::All, true);
+            self.tell(Recipients::All, true);
         }
     }
 
@@ -107,7 +107,7 @@
         let trace = self.change.trace;
         let what = match &verdict {
             Verdict::Healthy => What::Cleared(primary.clone()),
-            Verdict::Doubt => What::Doubt(primary.clone()),
+            Verdict::Doubt => What::Suspected(primary.clone()),
             Verdict::Forward(peer) => What::Forward(peer.clone()),
             Verdict::Replace(cause) => What::Replace(primary.clone(), *cause),
         };
@@ -153,11 +153,11 @@
     pub(super) fn rank(&self) -> u64 {
         let me = Peer {
             id: self.me.id.clone(),
-            place: self.me.place.clone(),
+            location: self.me.location.clone(),
         };
         let primary = self.lead.primary.as_ref();
         let member = primary.and_then(|p| self.spec.members.get(p));
-        let beside = member.map(|m| &m.place.data_centre);
+        let beside = member.map(|m| &m.location.data_centre);
         rank::rank(&self.spec.group, &me, &self.live, beside)
     }
 
--- a/crates/policy/src/group/waiting.rs
+++ b/crates/policy/src/group/waiting.rs
@@ -10,11 +10,11 @@
 use model::unit::{Span, Time};
 
 use super::Group;
+use crate::failure_detector::{DOUBT_AFTER, Verdict};
 use crate::message::{Action, Ticket};
 use crate::read::{Choice, Pick};
 use crate::route::{Failure, ReadNeed, Refusal, Target};
 use crate::status::Role;
-use crate::suspect::{DOUBT_AFTER, Verdict};
 
 /// Longest time that a request waits for a primary or a fresh instance. The slowest
 /// change of primary aimed at takes 3 s; after that nothing says when the next will come.
@@ -159,7 +159,7 @@
             now: self.now,
             arrived,
             need,
-            here: &self.me.place,
+            here: &self.me.location,
             spec: &self.spec,
             term: self.lead.term,
             primary: self
@@ -186,7 +186,7 @@
         Some(Target {
             instance: instance.clone(),
             address: member.address,
-            place: member.place.clone(),
+            location: member.location.clone(),
             role: if leads { Role::Primary } else { Role::Replica },
             term: self.lead.term,
             via: None,
--- a/crates/policy/tests/failover/fake/proxy.rs
+++ b/crates/policy/tests/failover/fake/proxy.rs
@@ -3,8 +3,8 @@
 use std::sync::Arc;
 
 use model::id::ProxyId;
-use model::place::Place;
-use policy::message::{Action, Audience, Event, Peer, PeerView, Query, StoreAnswer};
+use model::location::Location;
+use policy::message::{Action, Event, Peer, PeerReport, Query, Recipients, StoreReply};
 use policy::node::{Input, Node};
 use policy::route::Failure;
 use policy::spec::Me;
@@ -33,7 +33,7 @@
         let id: ProxyId = format!("p{at}-{start}").parse().unwrap();
         let me = Me {
             id: id.clone(),
-            place: self.place(site),
+            location: self.location(site),
         };
         let proxy = Proxy {
             site,
@@ -80,9 +80,9 @@
         }
     }
 
-    fn place(&self, site: usize) -> Place {
+    fn location(&self, site: usize) -> Location {
         let centre = format!("d{site}").parse().unwrap();
-        self.fleet.place(&centre).unwrap()
+        self.fleet.location(&centre).unwrap()
     }
 
     pub(crate) fn membership(&mut self) {
@@ -90,7 +90,7 @@
         let live: Vec<_> = live
             .map(|p| Peer {
                 id: p.id.clone(),
-                place: self.place(p.site),
+                location: self.location(p.site),
             })
             .collect();
         for at in 0..self.proxies.len() {
@@ -141,7 +141,7 @@
                 self.send(site, to, Message::Ask(who, query, to, ask));
             }
             Action::Store { query, ask } => {
-                self.send(site, STORE_SITE, Message::StoreAsk(who, query, ask));
+                self.send(site, STORE_SITE, Message::StoreRequest(who, query, ask));
             }
             Action::Tell { to, view } => self.tell(at, &to, &view),
             Action::Routed { ticket, result } => self.routed(who, ticket, result),
@@ -150,11 +150,11 @@
         }
     }
 
-    fn tell(&mut self, from: usize, to: &Audience, view: &PeerView) {
+    fn tell(&mut self, from: usize, to: &Recipients, view: &PeerReport) {
         for at in 0..self.proxies.len() {
             let meant = match to {
-                Audience::All => at != from,
-                Audience::One(id) => self.proxies[at].id == *id,
+                Recipients::All => at != from,
+                Recipients::One(id) => self.proxies[at].id == *id,
             };
             if meant {
                 let (a, b) = (self.proxies[from].site, self.proxies[at].site);
@@ -163,7 +163,7 @@
         }
     }
 
-    pub(crate) fn viewed(&mut self, at: usize, view: PeerView) {
+    pub(crate) fn viewed(&mut self, at: usize, view: PeerReport) {
         self.event(at, Event::Peer(view));
     }
 
@@ -177,7 +177,7 @@
         }
     }
 
-    pub(crate) fn store_answered(&mut self, who: Who, query: Query, answer: StoreAnswer) {
+    pub(crate) fn store_answered(&mut self, who: Who, query: Query, answer: StoreReply) {
         if self.current(who) {
             self.event(who.0, Event::Store { query, answer });
         }
--- a/crates/policy/tests/fleet/main.rs
+++ b/crates/policy/tests/fleet/main.rs
@@ -4,9 +4,9 @@
 
 use model::position::Revision;
 use model::unit::Span;
-use policy::adopt::Delta;
-use policy::member::delegate;
-use policy::member::table::State;
+use policy::config_mirror::Delta;
+use policy::membership::delegate;
+use policy::membership::table::State;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest, prop_state_machine};
--- a/crates/proxy/src/cx.rs
+++ b/crates/proxy/src/cx.rs
@@ -10,14 +10,14 @@
 use indexmap::IndexMap;
 use model::config::{Fleet, Group};
 use model::id::{GroupId, InstanceId, ProxyId};
-use model::place::Place;
+use model::location::Location;
 use model::settings::Settings;
 use model::token;
 use model::unit::Span;
 use pg::classify;
 use pg::startup::Key;
-use policy::admit::Limits;
-use policy::message::{Audience, Peer, PeerView, Versioned};
+use policy::admission::Limits;
+use policy::message::{Peer, PeerReport, Recipients, Versioned};
 use policy::retry;
 use policy::route::Target;
 use policy::slots::Share;
@@ -60,7 +60,7 @@
     pub tracer: Tracer,
     /// Held once by each caller connection: its count bounds them.
     pub(crate) callers: Rc<()>,
-    tell: flume::Sender<(Audience, PeerView)>,
+    tell: flume::Sender<(Recipients, PeerReport)>,
     live: RefCell<Vec<Peer>>,
     groups: RefCell<IndexMap<GroupId, Rc<GroupCx>>>,
 }
@@ -73,7 +73,7 @@
     pub(crate) relay: relay::Handle,
     pub(crate) tls: Option<TlsAcceptor>,
     pub(crate) store: store::client::Client,
-    pub(crate) tell: flume::Sender<(Audience, PeerView)>,
+    pub(crate) tell: flume::Sender<(Recipients, PeerReport)>,
     pub(crate) metrics: Metrics,
     pub(crate) tracer: Tracer,
 }
@@ -130,12 +130,12 @@
     }
 
     fn start_group(&self, id: &GroupId, spec: &Group, fleet: &Arc<Fleet>) -> Option<GroupCx> {
-        let place: Place = fleet.place(&self.cfg.data_centre)?;
+        let location: Location = fleet.location(&self.cfg.data_centre)?;
         let routes = group::spawn(group::Setup {
             admit: self.admit.clone(),
             group: id.clone(),
             me: self.me.clone(),
-            place,
+            location,
             address: self.cfg.address,
             fleet: fleet.clone(),
             store: self.store.clone(),
@@ -173,7 +173,7 @@
     }
 
     /// Hands a peer's view to its group, if this process serves it.
-    pub fn peer_view(&self, view: PeerView) {
+    pub fn peer_view(&self, view: PeerReport) {
         if let Some(known) = self.groups.borrow().get(&view.group) {
             known.routes.peer_view(view);
         }
--- a/crates/proxy/src/group/task.rs
+++ b/crates/proxy/src/group/task.rs
@@ -8,8 +8,8 @@
 use model::unit::{Span, Time};
 use policy::decision::{Decision, Phase, What};
 use policy::group::{self, Group};
-use policy::lead;
-use policy::message::{Action, Ask, Event, Query, StoreAnswer, StoreAsk, Ticket};
+use policy::leadership;
+use policy::message::{Action, Ask, Event, Query, StoreReply, StoreRequest, Ticket};
 use policy::route::{Refusal, Target, Unconfirmed};
 use policy::spec::{Me, Spec};
 
@@ -30,7 +30,7 @@
 /// Answers that come back to the task.
 enum Inner {
     Instance(Answer),
-    Store(Query, StoreAnswer),
+    Store(Query, StoreReply),
 }
 
 enum Caller {
@@ -52,7 +52,7 @@
     /// Who waits for a primary of a later term than this.
     waiting: Vec<(Term, flume::Sender<()>)>,
     instances: flume::Sender<Answer>,
-    stores: flume::Sender<(Query, StoreAnswer)>,
+    stores: flume::Sender<(Query, StoreReply)>,
 }
 
 /// Serves requests until every handle is gone.
@@ -65,7 +65,7 @@
     let (stores, stored) = flume::unbounded();
     let me = Me {
         id: setup.me.clone(),
-        place: setup.place.clone(),
+        location: setup.location.clone(),
     };
     let now = Time::from_micros(1);
     let mut task = Task {
@@ -106,7 +106,7 @@
 async fn next(
     rx: &flume::Receiver<Request>,
     answers: &flume::Receiver<Answer>,
-    stored: &flume::Receiver<(Query, StoreAnswer)>,
+    stored: &flume::Receiver<(Query, StoreReply)>,
     left: Duration,
 ) -> Option<Result<Input, flume::RecvError>> {
     if left.is_zero() {
@@ -368,8 +368,8 @@
         &self.setup.tracer
     }
 
-    fn ask_store(&self, query: Query, ask: StoreAsk) {
-        let key = lead::key(&self.setup.group);
+    fn ask_store(&self, query: Query, ask: StoreRequest) {
+        let key = leadership::key(&self.setup.group);
         let trace = self.trace;
         let span = trace.map(|trace| self.tracer().within("store", Side::Client, trace));
         let span = span.unwrap_or_default();
@@ -379,7 +379,7 @@
             let mut span = span;
             span.set("key", &key);
             let answer = record::ask(&store, &key, ask).await;
-            if answer == StoreAnswer::Unknown {
+            if answer == StoreReply::Unknown {
                 compio::time::sleep(STORE_PAUSE).await;
             }
             let _ = tx.send((query, answer));
--- a/crates/proxy/src/member/exchange.rs
+++ b/crates/proxy/src/member/exchange.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use peer::client::Error;
-use policy::adopt::Delta;
-use policy::member::message::{Compare, Failure, Heartbeat, Peer, Tables};
+use policy::config_mirror::Delta;
+use policy::membership::message::{Compare, Failure, Heartbeat, Peer, Tables};
 
 use crate::trace::Tracer;
 
@@ -87,7 +87,7 @@
     }
 
     /// Tells a view; the sender repeats it while it matters.
-    pub(super) fn tell(&self, address: SocketAddr, view: policy::message::PeerView) {
+    pub(super) fn tell(&self, address: SocketAddr, view: policy::message::PeerReport) {
         let client = self.client.clone();
         compio::runtime::spawn(async move {
             let answer = client.call(address, VIEW, &view, BEAT_LIMIT, None);
