--- a/crates/policy/src/membership.rs
+++ b/crates/policy/src/membership.rs
@@ -10,11 +10,11 @@
 //! and never as proof that a proxy runs or does not.
 
 pub mod delegate;
-mod duty;
-mod judge;
+pub mod gossip;
 pub mod link;
 pub mod message;
-pub mod spread;
+mod roles;
+mod suspicion;
 pub mod table;
 pub mod timing;
 
@@ -28,9 +28,9 @@
 use rand::rngs::StdRng;
 use rand::seq::SliceRandom as _;
 
+use gossip::Spread;
 use link::Links;
 use message::{Action, Compare, Heartbeat, Peer};
-use spread::Spread;
 use table::{MemberInfo, State, Table};
 use timing::{ALONE, BEAT, COMPARE_EVERY, FETCH, MISSES};
 
