--- a/crates/front/src/directory.rs
+++ b/crates/front/src/directory.rs
@@ -202,7 +202,7 @@
                         self.complete_until.set(Some(heard));
                     }
                     heard = clock::now();
-                    self.follow.borrow_mut().answered();
+                    self.follow.borrow_mut().succeeded();
                     self.take(news).await;
                     self.complete_until.set(None);
                 }
@@ -359,7 +359,7 @@
             let shares = Shares {
                 connections: limits.connections,
                 holders: state.holders(group),
-                own: state.holds(group) || coordinates,
+                is_holder: state.holds(group) || coordinates,
             };
             // A group that does not know its share must not ask its instances who leads.
             handle.set_shares(shares);
--- a/crates/front/src/directory/state/placement.rs
+++ b/crates/front/src/directory/state/placement.rs
@@ -60,13 +60,13 @@
             live: self.live,
         };
         self.placed.insert(group.clone(), placed);
-        let peers = fallback::peers(group, me, &live);
+        let peers = fallback::candidates(group, me, &live);
         Some(Placement { plan, peers })
     }
 
     /// Whether this proxy holds connections to a group.
     pub fn holds(&self, group: &GroupId) -> bool {
-        self.placed.get(group).is_none_or(|p| p.plan.own)
+        self.placed.get(group).is_none_or(|p| p.plan.is_holder)
     }
 
     /// Proxies that hold connections to a group.
--- a/crates/front/src/group.rs
+++ b/crates/front/src/group.rs
@@ -94,7 +94,7 @@
     /// Proxies that hold some.
     pub holders: u32,
     /// Whether this proxy is one of them.
-    pub own: bool,
+    pub is_holder: bool,
 }
 
 /// What the task knows, for those who ask.
@@ -292,14 +292,14 @@
         let Shares {
             connections,
             holders,
-            own,
+            is_holder,
         } = shares;
-        self.pool.set_shares(connections, holders, own);
-        if self.own != shares.own {
+        self.pool.set_shares(connections, holders, is_holder);
+        if self.own != shares.is_holder {
             if self.shared {
-                tracing::info!(group = %self.id, own = shares.own, holders = shares.holders, "who holds connections has changed");
+                tracing::info!(group = %self.id, own = shares.is_holder, holders = shares.holders, "who holds connections has changed");
             }
-            self.own = shares.own;
+            self.own = shares.is_holder;
             // A proxy that no longer looks must not go on doubting.
             self.watch.forget();
         }
--- a/crates/front/src/relay/client.rs
+++ b/crates/front/src/relay/client.rs
@@ -90,7 +90,7 @@
         let now = clock::now();
         let until = self.0.passed_over.borrow().get(carrier).copied();
         if until.is_some_and(|until| now < until) {
-            return Err(Miss::Elsewhere(pooler_retry::GrantFailure::Silent));
+            return Err(Miss::Elsewhere(pooler_retry::GrantFailure::Unresponsive));
         }
         let idle = self.take_idle(carrier);
         let reused = idle.is_some();
@@ -107,7 +107,7 @@
                 let until = clock::now() + PASS_OVER;
                 let mut passed_over = self.0.passed_over.borrow_mut();
                 passed_over.insert(carrier.clone(), until);
-                Miss::Elsewhere(pooler_retry::GrantFailure::Silent)
+                Miss::Elsewhere(pooler_retry::GrantFailure::Unresponsive)
             }
         })
     }
--- a/crates/front/tests/carriers.rs
+++ b/crates/front/tests/carriers.rs
@@ -107,7 +107,7 @@
     };
     let borrows = |name: &str| {
         let live = ["p1", "p2", "p3"].map(known);
-        !pooler::plan(&"ledger".parse().unwrap(), 2, &known(name), &live).own
+        !pooler::plan(&"ledger".parse().unwrap(), 2, &known(name), &live).is_holder
     };
     let name = ["p4", "p5", "p6", "p7"]
         .into_iter()
--- a/crates/load/src/placement.rs
+++ b/crates/load/src/placement.rs
@@ -52,7 +52,7 @@
     let mut placed = 0;
     let start = Instant::now();
     for n in 0..groups {
-        for server in placement::servers(&group(n), &homes(centres, n), &live) {
+        for server in placement::serving_proxies(&group(n), &homes(centres, n), &live) {
             *load.entry(&server.id).or_default() += 1;
             placed += 1;
         }
--- a/crates/load/src/slopes/membership.rs
+++ b/crates/load/src/slopes/membership.rs
@@ -80,7 +80,7 @@
                 incarnation: 0,
                 state: State::Live,
                 draining: false,
-                storeless: false,
+                store_unreachable: false,
             };
             let seeds = (0..CENTRES).map(address).collect();
             members.push(Membership::new(now, me, seeds, at as u64));
@@ -121,9 +121,9 @@
         match action {
             Action::Heartbeat(peer, heartbeat) => self.beat(from, &peer, &heartbeat),
             Action::Compare(peer, compare) => {
-                let tables = self.members[index(&peer)].compare(&compare);
+                let tables = self.members[index(&peer)].differing_tables(&compare);
                 self.count(&compare, &tables);
-                let actions = self.members[from].compared(self.now, tables);
+                let actions = self.members[from].tables_received(self.now, tables);
                 self.queue.extend(actions.into_iter().map(|a| (from, a)));
             }
             Action::Fetch(..) | Action::Watch(_) | Action::Changed => {}
@@ -139,7 +139,7 @@
         let (answer, actions) = self.members[to].receive(self.now, received);
         self.queue.extend(actions.into_iter().map(|a| (to, a)));
         self.count(heartbeat, &answer);
-        let actions = self.members[from].answered(self.now, answer);
+        let actions = self.members[from].response_received(self.now, answer);
         self.queue.extend(actions.into_iter().map(|a| (from, a)));
     }
 
--- a/crates/policy/src/config_mirror.rs
+++ b/crates/policy/src/config_mirror.rs
@@ -83,7 +83,7 @@
     records: IndexMap<String, Record>,
     complete: Revision,
     current: Option<Snapshot>,
-    refused: Option<(Revision, Rejection)>,
+    rejected: Option<(Revision, Rejection)>,
     decoder: Decoder,
 }
 
@@ -94,8 +94,8 @@
     }
 
     /// The newest configuration that was refused, if none was adopted since.
-    pub fn refused(&self) -> Option<&(Revision, Rejection)> {
-        self.refused.as_ref()
+    pub fn rejected(&self) -> Option<&(Revision, Rejection)> {
+        self.rejected.as_ref()
     }
 
     /// The revision up to which no change was missed.
@@ -137,8 +137,8 @@
     fn adopt(&mut self) -> Option<Change> {
         let head = self.records.get(document::HEAD)?.clone();
         let current = self.current.as_ref().map(|c| c.revision);
-        let refused = self.refused.as_ref().map(|(revision, _)| *revision);
-        if current.max(refused) >= Some(head.revision) {
+        let rejected = self.rejected.as_ref().map(|(revision, _)| *revision);
+        if current.max(rejected) >= Some(head.revision) {
             return None;
         }
         match self.read(&head) {
@@ -146,7 +146,7 @@
             // Its parts are on their way.
             Err(None) => None,
             Err(Some(rejection)) => {
-                self.refused = Some((head.revision, rejection.clone()));
+                self.rejected = Some((head.revision, rejection.clone()));
                 Some(Change::Rejected(head.revision, rejection))
             }
         }
@@ -172,7 +172,7 @@
         let fleet = Arc::new(fleet);
         let snapshot = Snapshot { revision, fleet };
         self.current = Some(snapshot.clone());
-        self.refused = None;
+        self.rejected = None;
         self.drop_old_parts(revision);
         Change::Applied(snapshot)
     }
@@ -194,7 +194,7 @@
     }
 
     /// What changed after `after`, as much as fits in one answer.
-    pub fn since(&self, after: Revision) -> Delta {
+    pub fn changes_since(&self, after: Revision) -> Delta {
         let newer = self.records.values().filter(|r| r.revision > after);
         let mut newer: Vec<_> = newer.collect();
         newer.sort_by_key(|r| r.revision);
--- a/crates/policy/src/fallback.rs
+++ b/crates/policy/src/fallback.rs
@@ -79,7 +79,7 @@
 
 /// The other proxies in the order in which they are asked: from each data centre first the
 /// one that would carry the group, this data centre before the others.
-pub fn peers(group: &GroupId, me: &Proxy, live: &[Proxy]) -> Vec<ProxyId> {
+pub fn candidates(group: &GroupId, me: &Proxy, live: &[Proxy]) -> Vec<ProxyId> {
     let mut centres: IndexMap<&DataCentre, Vec<&ProxyId>> = IndexMap::new();
     centres.insert(&me.data_centre, Vec::new());
     for proxy in live.iter().filter(|p| p.id != me.id) {
--- a/crates/policy/src/membership.rs
+++ b/crates/policy/src/membership.rs
@@ -28,7 +28,7 @@
 use rand::rngs::StdRng;
 use rand::seq::SliceRandom as _;
 
-use gossip::Spread;
+use gossip::GossipQueue;
 use link::Links;
 use message::{Action, Compare, Heartbeat, Peer};
 use table::{MemberInfo, State, Table};
@@ -39,7 +39,7 @@
 pub struct Membership {
     me: MemberInfo,
     table: Table,
-    spread: Spread,
+    spread: GossipQueue,
     links: Links,
     rng: StdRng,
     seeds: Vec<SocketAddr>,
@@ -71,7 +71,7 @@
     pub fn new(now: Time, me: MemberInfo, seeds: Vec<SocketAddr>, seed: u64) -> Self {
         let mut table = Table::default();
         table.take(now, me.clone());
-        let mut spread = Spread::default();
+        let mut spread = GossipQueue::default();
         spread.add(me.clone());
         Self {
             links: Links::new(me.data_centre.clone()),
@@ -113,12 +113,12 @@
     /// How long ago there was word of another data centre, directly or through others.
     ///
     /// `None` for the own data centre, and for one that this proxy has no word of.
-    pub fn silence(&self, now: Time, data_centre: &DataCentre) -> Option<Span> {
-        self.links.silence(now, data_centre)
+    pub fn time_since_contact(&self, now: Time, data_centre: &DataCentre) -> Option<Span> {
+        self.links.time_since_contact(now, data_centre)
     }
 
     /// Replaces the addresses to try when no peer is known, e.g. by the VM list.
-    pub fn hint(&mut self, addresses: Vec<SocketAddr>) {
+    pub fn add_seeds(&mut self, addresses: Vec<SocketAddr>) {
         let new = addresses.into_iter().filter(|a| *a != self.me.address);
         for address in new {
             if !self.seeds.contains(&address) {
@@ -159,7 +159,7 @@
         for id in retries {
             self.send(&id, actions);
         }
-        self.links.begin_turn();
+        self.links.begin_round();
         for peer in self.links.due(&self.table, &self.me.id) {
             let heartbeat = self.heartbeat_to(&peer);
             actions.push(Action::Heartbeat(peer, heartbeat));
@@ -179,7 +179,7 @@
             }
             let id = self.round.pop()?;
             let running = self.table.get(&id);
-            if running.is_some_and(|e| e.news.state != State::Gone) {
+            if running.is_some_and(|e| e.info.state != State::Gone) {
                 return Some(id);
             }
         }
@@ -213,29 +213,30 @@
         let entry = self.table.get(id)?;
         Some(Peer {
             id: Some(id.clone()),
-            address: entry.news.address,
+            address: entry.info.address,
         })
     }
 
     fn heartbeat_to(&mut self, peer: &Peer) -> Heartbeat {
-        let mut news = self.spread.take(self.table.running().count());
+        let mut updates = self.spread.take(self.table.running().count());
         let entry = peer.id.as_ref().and_then(|id| self.table.get(id));
         // A proxy that is taken for dead must hear of it, to contradict.
-        if let Some(entry) = entry.filter(|e| e.news.state != State::Live)
-            && !news.iter().any(|n| n.id == entry.news.id)
+        if let Some(entry) = entry.filter(|e| e.info.state != State::Live)
+            && !updates.iter().any(|n| n.id == entry.info.id)
         {
-            news.push(entry.news.clone());
+            updates.push(entry.info.clone());
         }
         let home = &self.me.data_centre;
-        let far = entry.is_none_or(|e| e.news.data_centre != *home);
-        let fellows = delegate::fellows(&self.table, home, &self.me.id);
-        let fellow = fellows.is_some_and(|f| f.iter().any(|n| Some(&n.id) == peer.id.as_ref()));
+        let far = entry.is_none_or(|e| e.info.data_centre != *home);
+        let other_gateways = delegate::other_gateways(&self.table, home, &self.me.id);
+        let fellow =
+            other_gateways.is_some_and(|f| f.iter().any(|n| Some(&n.id) == peer.id.as_ref()));
         Heartbeat {
             from: self.me.clone(),
-            news,
+            updates,
             complete: self.complete,
-            turns: if far || fellow {
-                self.links.turns()
+            rounds: if far || fellow {
+                self.links.rounds()
             } else {
                 IndexMap::new()
             },
@@ -253,7 +254,7 @@
     }
 
     /// A heartbeat was answered.
-    pub fn answered(&mut self, now: Time, answer: Heartbeat) -> Vec<Action> {
+    pub fn response_received(&mut self, now: Time, answer: Heartbeat) -> Vec<Action> {
         self.take(now, answer)
     }
 
@@ -268,7 +269,7 @@
         if from.data_centre == self.me.data_centre {
             self.contact = now;
         } else {
-            let back = self.links.word(now, &from.data_centre);
+            let back = self.links.contact(now, &from.data_centre);
             if back {
                 let digests = self.table.digests();
                 actions.push(Action::Compare(peer.clone(), Compare { digests }));
@@ -279,10 +280,10 @@
             let digests = self.table.digests();
             actions.push(Action::Compare(peer.clone(), Compare { digests }));
         }
-        self.links.relayed(now, &heartbeat.turns);
+        self.links.relayed(now, &heartbeat.rounds);
         let mut changed = self.learn(now, from);
-        for news in heartbeat.news {
-            changed |= self.learn(now, news);
+        for info in heartbeat.updates {
+            changed |= self.learn(now, info);
         }
         if changed {
             actions.push(Action::Changed);
@@ -295,13 +296,13 @@
         actions
     }
 
-    fn learn(&mut self, now: Time, news: MemberInfo) -> bool {
-        if news.id == self.me.id {
-            return self.contradict(now, &news);
+    fn learn(&mut self, now: Time, info: MemberInfo) -> bool {
+        if info.id == self.me.id {
+            return self.contradict(now, &info);
         }
-        let taken = self.table.take(now, news.clone());
+        let taken = self.table.take(now, info.clone());
         if taken {
-            self.spread.add(news);
+            self.spread.add(info);
         }
         taken
     }
--- a/crates/policy/src/membership/delegate.rs
+++ b/crates/policy/src/membership/delegate.rs
@@ -15,7 +15,7 @@
 
 /// Proxies of a data centre that keep links to others. Two, so that the death of one
 /// leaves half of the links in place until the next in rank takes over.
-pub const LINK_KEEPERS: usize = 2;
+pub const GATEWAYS: usize = 2;
 
 /// Running proxies of a data centre, the ones that act for it first.
 ///
@@ -23,29 +23,34 @@
 /// as long as there are others.
 pub fn ranking<'a>(table: &'a Table, place: &'a DataCentre) -> Vec<&'a MemberInfo> {
     let mut ranked: Vec<_> = table.running_in(place).collect();
-    ranked.sort_by_cached_key(|news| {
-        let weight = hash::of([place.as_str(), news.id.as_str()]);
-        let last = news.draining || news.state != State::Live;
-        (last, news.storeless, Reverse(weight), news.id.clone())
+    ranked.sort_by_cached_key(|info| {
+        let weight = hash::of([place.as_str(), info.id.as_str()]);
+        let last = info.draining || info.state != State::Live;
+        (
+            last,
+            info.store_unreachable,
+            Reverse(weight),
+            info.id.clone(),
+        )
     });
     ranked
 }
 
 /// Whether a proxy holds its data centre's watch on the store.
-pub fn watches(table: &Table, place: &DataCentre, me: &ProxyId) -> bool {
+pub fn is_watcher(table: &Table, place: &DataCentre, me: &ProxyId) -> bool {
     ranking(table, place).first().is_some_and(|n| n.id == *me)
 }
 
 /// The other keepers of links of the data centre `home`; `None` unless `me` keeps some.
-pub fn fellows<'a>(
+pub fn other_gateways<'a>(
     table: &'a Table,
     home: &'a DataCentre,
     me: &ProxyId,
 ) -> Option<Vec<&'a MemberInfo>> {
     let mut keepers = ranking(table, home);
-    keepers.truncate(LINK_KEEPERS);
+    keepers.truncate(GATEWAYS);
     let before = keepers.len();
-    keepers.retain(|news| news.id != *me);
+    keepers.retain(|info| info.id != *me);
     (keepers.len() < before).then_some(keepers)
 }
 
@@ -56,9 +61,9 @@
 /// each keeper 46 heartbeats a turn. The keepers share the links in turn.
 pub fn links(table: &Table, home: &DataCentre, me: &ProxyId) -> Vec<DataCentre> {
     let ranked = ranking(table, home);
-    let keepers = ranked.len().min(LINK_KEEPERS);
-    let turn = ranked[..keepers].iter().position(|news| news.id == *me);
-    let Some(turn) = turn else {
+    let keepers = ranked.len().min(GATEWAYS);
+    let index = ranked[..keepers].iter().position(|info| info.id == *me);
+    let Some(index) = index else {
         return Vec::new();
     };
     let all = table.data_centres();
@@ -70,6 +75,6 @@
     let mut linked: Vec<_> = linked.collect();
     linked.dedup();
     let shared = linked.into_iter().enumerate();
-    let mine = shared.filter(|(n, _)| n % keepers == turn);
+    let mine = shared.filter(|(n, _)| n % keepers == index);
     mine.map(|(_, name)| name).collect()
 }
--- a/crates/policy/src/membership/gossip.rs
+++ b/crates/policy/src/membership/gossip.rs
@@ -16,15 +16,15 @@
 
 /// News that is still to be passed on.
 #[derive(Clone, Debug, Default)]
-pub struct Spread {
+pub struct GossipQueue {
     /// The news with the number of times that it was sent.
     waiting: IndexMap<ProxyId, (MemberInfo, u32)>,
 }
 
-impl Spread {
+impl GossipQueue {
     /// Puts news in line, in place of older news of the same proxy.
-    pub fn add(&mut self, news: MemberInfo) {
-        self.waiting.insert(news.id.clone(), (news, 0));
+    pub fn add(&mut self, info: MemberInfo) {
+        self.waiting.insert(info.id.clone(), (info, 0));
     }
 
     /// The news for one heartbeat, the least often sent first.
@@ -38,9 +38,9 @@
         order.sort();
         let mut batch = Vec::new();
         for (_, id) in order.into_iter().take(MAX_NEWS) {
-            if let Some((news, sent)) = self.waiting.get_mut(&id) {
+            if let Some((info, sent)) = self.waiting.get_mut(&id) {
                 *sent += 1;
-                batch.push(news.clone());
+                batch.push(info.clone());
             }
         }
         self.waiting.retain(|_, (_, sent)| *sent < limit);
--- a/crates/policy/src/membership/link.rs
+++ b/crates/policy/src/membership/link.rs
@@ -21,19 +21,19 @@
 pub struct Links {
     home: DataCentre,
     /// Turns that the keepers of the own data centre have counted.
-    turn: u64,
+    round: u64,
     /// The other data centres that there was word of.
-    heard: IndexMap<DataCentre, Word>,
+    contacts: IndexMap<DataCentre, Contact>,
     /// Failures in a row, by data centre; they choose whom to try next.
     failures: IndexMap<DataCentre, usize>,
 }
 
 /// Word of a data centre.
 #[derive(Clone, Copy, Debug, Default)]
-struct Word {
+struct Contact {
     /// Highest turn that its keepers were heard to have counted. Ages instead would be
     /// renewed on the way, by each delay, and go round for ever.
-    turn: u64,
+    round: u64,
     /// When it rose, or a proxy of it answered.
     at: Time,
 }
@@ -43,8 +43,8 @@
     pub fn new(home: DataCentre) -> Self {
         Self {
             home,
-            turn: 0,
-            heard: IndexMap::new(),
+            round: 0,
+            contacts: IndexMap::new(),
             failures: IndexMap::new(),
         }
     }
@@ -52,15 +52,15 @@
     /// The peers to send to now, if this proxy keeps links: one of each linked data
     /// centre, and the fellow keepers.
     pub fn due(&mut self, table: &Table, me: &ProxyId) -> Vec<Peer> {
-        let Some(fellows) = delegate::fellows(table, &self.home, me) else {
+        let Some(other_gateways) = delegate::other_gateways(table, &self.home, me) else {
             // Others have word of the data centres now; what was heard must not age here.
-            self.heard.clear();
+            self.contacts.clear();
             self.failures.clear();
             return Vec::new();
         };
         let linked = delegate::links(table, &self.home, me);
         let far = linked.iter().filter_map(|name| self.candidate(table, name));
-        let near = fellows.into_iter().map(peer);
+        let near = other_gateways.into_iter().map(peer);
         far.chain(near).collect()
     }
 
@@ -69,8 +69,8 @@
     fn candidate(&self, table: &Table, name: &DataCentre) -> Option<Peer> {
         let mut all = delegate::ranking(table, name);
         let running = all.len();
-        let news = table.iter().map(|entry| &entry.news);
-        all.extend(news.filter(|n| n.data_centre == *name && !is_running(n)));
+        let info = table.iter().map(|entry| &entry.info);
+        all.extend(info.filter(|n| n.data_centre == *name && !is_running(n)));
         if all.is_empty() {
             return None;
         }
@@ -84,29 +84,35 @@
     }
 
     /// Another turn begins; the other data centres hear of it directly or through others.
-    pub fn begin_turn(&mut self) {
-        self.turn += 1;
+    pub fn begin_round(&mut self) {
+        self.round += 1;
     }
 
     /// An exchange with a proxy of another data centre succeeded. Returns whether there had
     /// been no word of it for long.
-    pub fn word(&mut self, now: Time, name: &DataCentre) -> bool {
+    pub fn contact(&mut self, now: Time, name: &DataCentre) -> bool {
         self.failures.shift_remove(name);
-        let before = self.heard.get(name).copied();
-        let turn = before.unwrap_or_default().turn;
-        self.heard.insert(name.clone(), Word { turn, at: now });
-        before.is_none_or(|word| now.since(word.at) > QUIET)
+        let before = self.contacts.get(name).copied();
+        let round = before.unwrap_or_default().round;
+        self.contacts
+            .insert(name.clone(), Contact { round, at: now });
+        before.is_none_or(|contact| now.since(contact.at) > QUIET)
     }
 
     /// Another keeper of links told the turns that it had heard of. Without this, a keeper
     /// would take a data centre for lost that only others are linked to.
-    pub fn relayed(&mut self, now: Time, turns: &IndexMap<DataCentre, u64>) {
-        for (name, &turn) in turns {
+    pub fn relayed(&mut self, now: Time, rounds: &IndexMap<DataCentre, u64>) {
+        for (name, &round) in rounds {
             if *name == self.home {
                 // A data centre whose proxies were all replaced goes on counting.
-                self.turn = self.turn.max(turn);
-            } else if self.heard.get(name).is_none_or(|word| word.turn < turn) {
-                self.heard.insert(name.clone(), Word { turn, at: now });
+                self.round = self.round.max(round);
+            } else if self
+                .contacts
+                .get(name)
+                .is_none_or(|contact| contact.round < round)
+            {
+                self.contacts
+                    .insert(name.clone(), Contact { round, at: now });
             }
         }
     }
@@ -117,33 +123,35 @@
     }
 
     /// The turns of every data centre, as far as heard of.
-    pub fn turns(&self) -> IndexMap<DataCentre, u64> {
-        let heard = self.heard.iter();
-        let mut turns: IndexMap<_, _> = heard.map(|(n, word)| (n.clone(), word.turn)).collect();
-        turns.insert(self.home.clone(), self.turn);
-        turns
+    pub fn rounds(&self) -> IndexMap<DataCentre, u64> {
+        let contacts = self.contacts.iter();
+        let mut rounds: IndexMap<_, _> = contacts
+            .map(|(n, contact)| (n.clone(), contact.round))
+            .collect();
+        rounds.insert(self.home.clone(), self.round);
+        rounds
     }
 
     /// How long ago there was word of a data centre.
-    pub fn silence(&self, now: Time, name: &DataCentre) -> Option<Span> {
-        self.heard.get(name).map(|word| now.since(word.at))
+    pub fn time_since_contact(&self, now: Time, name: &DataCentre) -> Option<Span> {
+        self.contacts.get(name).map(|contact| now.since(contact.at))
     }
 
     /// Whether the proxies of a data centre count as gone. One that never was heard of is
     /// not judged: only keepers of links hear of it.
     pub fn lost(&self, now: Time, name: &DataCentre) -> bool {
-        let heard = self.heard.get(name);
-        heard.is_some_and(|word| now.since(word.at) >= LOST)
+        let contacts = self.contacts.get(name);
+        contacts.is_some_and(|contact| now.since(contact.at) >= LOST)
     }
 }
 
-fn peer(news: &MemberInfo) -> Peer {
+fn peer(info: &MemberInfo) -> Peer {
     Peer {
-        id: Some(news.id.clone()),
-        address: news.address,
+        id: Some(info.id.clone()),
+        address: info.address,
     }
 }
 
-fn is_running(news: &MemberInfo) -> bool {
-    news.state != State::Gone
+fn is_running(info: &MemberInfo) -> bool {
+    info.state != State::Gone
 }
--- a/crates/policy/src/membership/message.rs
+++ b/crates/policy/src/membership/message.rs
@@ -15,14 +15,14 @@
     /// The sender.
     pub from: MemberInfo,
     /// News of others.
-    #[serde(default)]
-    pub news: Vec<MemberInfo>,
+    #[serde(rename = "news", default)]
+    pub updates: Vec<MemberInfo>,
     /// Revision up to which the sender knows every record of the store.
     #[serde(default)]
     pub complete: Revision,
     /// Between keepers of links: the turns that the sender heard of, by data centre.
-    #[serde(default, skip_serializing_if = "IndexMap::is_empty")]
-    pub turns: IndexMap<DataCentre, u64>,
+    #[serde(rename = "turns", default, skip_serializing_if = "IndexMap::is_empty")]
+    pub rounds: IndexMap<DataCentre, u64>,
 }
 
 /// A comparison of tables: hashes of what the sender knows, by data centre.
@@ -38,7 +38,8 @@
 #[serde(default)]
 pub struct Tables {
     /// Every proxy of those data centres.
-    pub news: Vec<MemberInfo>,
+    #[serde(rename = "news")]
+    pub members: Vec<MemberInfo>,
 }
 
 /// How an exchange with a peer ended.
@@ -47,7 +48,7 @@
     /// The peer's VM refused: no process listens there.
     Refused,
     /// No answer.
-    Silent,
+    Unresponsive,
 }
 
 /// A proxy to send to.
--- a/crates/policy/src/membership/roles.rs
+++ b/crates/policy/src/membership/roles.rs
@@ -10,7 +10,7 @@
 
 impl Membership {
     /// The records are known up to this revision; peers hear of it at once.
-    pub fn advanced(&mut self, now: Time, complete: Revision) -> Vec<Action> {
+    pub fn revision_advanced(&mut self, now: Time, complete: Revision) -> Vec<Action> {
         if complete <= self.complete {
             return Vec::new();
         }
@@ -39,7 +39,7 @@
     }
 
     /// A fetch ended; with `more` to come and progress made, the next one begins.
-    pub fn fetched(&mut self, now: Time, peer: &Peer, more: bool) -> Vec<Action> {
+    pub fn fetch_finished(&mut self, now: Time, peer: &Peer, more: bool) -> Vec<Action> {
         self.fetching_until = None;
         if !more {
             return Vec::new();
@@ -51,8 +51,8 @@
     /// The store did not answer this proxy: another of its data centre should watch.
     pub fn store_failed(&mut self, now: Time) -> Vec<Action> {
         self.storeless_until = Some(now + STORELESS);
-        if !self.me.storeless {
-            self.me.storeless = true;
+        if !self.me.store_unreachable {
+            self.me.store_unreachable = true;
             self.me.incarnation += 1;
             self.announce(now);
         }
@@ -63,22 +63,22 @@
 
     pub(super) fn end_storeless(&mut self, now: Time) {
         if self.storeless_until.is_some_and(|until| now >= until) {
-            self.store_answered(now);
+            self.store_responded(now);
         }
     }
 
     /// The store answered this proxy.
-    pub fn store_answered(&mut self, now: Time) {
+    pub fn store_responded(&mut self, now: Time) {
         self.storeless_until = None;
-        if self.me.storeless {
-            self.me.storeless = false;
+        if self.me.store_unreachable {
+            self.me.store_unreachable = false;
             self.me.incarnation += 1;
             self.announce(now);
         }
     }
 
     pub(super) fn choose_watch(&mut self, actions: &mut Vec<Action>) {
-        let watches = delegate::watches(&self.table, &self.me.data_centre, &self.me.id);
+        let watches = delegate::is_watcher(&self.table, &self.me.data_centre, &self.me.id);
         if watches != self.watching {
             self.watching = watches;
             actions.push(Action::Watch(watches));
--- a/crates/policy/src/membership/suspicion.rs
+++ b/crates/policy/src/membership/suspicion.rs
@@ -12,37 +12,37 @@
 impl Membership {
     /// Others took this proxy for dead, e.g. because it was paused: it raises its
     /// incarnation, and that news counts more than theirs.
-    pub(super) fn contradict(&mut self, now: Time, news: &MemberInfo) -> bool {
-        let theirs = (news.incarnation, news.state);
+    pub(super) fn contradict(&mut self, now: Time, info: &MemberInfo) -> bool {
+        let theirs = (info.incarnation, info.state);
         if theirs <= (self.me.incarnation, self.me.state) {
             return false;
         }
-        self.me.incarnation = news.incarnation + 1;
+        self.me.incarnation = info.incarnation + 1;
         self.announce(now);
         true
     }
 
     /// A heartbeat got no answer.
-    pub fn failed(&mut self, now: Time, peer: &Peer, failure: Failure) -> Vec<Action> {
+    pub fn heartbeat_failed(&mut self, now: Time, peer: &Peer, failure: Failure) -> Vec<Action> {
         let Some(entry) = peer.id.as_ref().and_then(|id| self.table.get(id)) else {
             return Vec::new();
         };
-        let news = entry.news.clone();
-        if news.data_centre != self.me.data_centre {
-            self.links.failed(&news.data_centre);
+        let info = entry.info.clone();
+        if info.data_centre != self.me.data_centre {
+            self.links.failed(&info.data_centre);
             return Vec::new();
         }
-        let misses = self.misses.entry(news.id.clone()).or_default();
+        let misses = self.misses.entry(info.id.clone()).or_default();
         // A refusal comes from a VM on which no such process listens: no need to ask twice.
         *misses = match failure {
             Failure::Refused => MISSES,
-            Failure::Silent => *misses + 1,
+            Failure::Unresponsive => *misses + 1,
         };
-        if *misses < MISSES || news.state != State::Live {
+        if *misses < MISSES || info.state != State::Live {
             return Vec::new();
         }
         let state = State::Suspected;
-        self.learn(now, MemberInfo { state, ..news });
+        self.learn(now, MemberInfo { state, ..info });
         vec![Action::Changed]
     }
 
@@ -56,17 +56,17 @@
         let spare = others && alone > ALONE && alone < HOLD;
         let home = &self.me.data_centre;
         let late = self.table.iter().filter(|entry| {
-            let news = &entry.news;
-            let suspected = news.state == State::Suspected && now.since(entry.since) >= SUSPICION;
-            let near = news.data_centre == *home && !spare && suspected;
-            let far = news.data_centre != *home && self.links.lost(now, &news.data_centre);
-            news.state != State::Gone && (near || far)
+            let info = &entry.info;
+            let suspected = info.state == State::Suspected && now.since(entry.since) >= SUSPICION;
+            let near = info.data_centre == *home && !spare && suspected;
+            let far = info.data_centre != *home && self.links.lost(now, &info.data_centre);
+            info.state != State::Gone && (near || far)
         });
-        let late: Vec<_> = late.map(|entry| entry.news.clone()).collect();
-        for news in late {
-            self.misses.shift_remove(&news.id);
+        let late: Vec<_> = late.map(|entry| entry.info.clone()).collect();
+        for info in late {
+            self.misses.shift_remove(&info.id);
             let state = State::Gone;
-            self.learn(now, MemberInfo { state, ..news });
+            self.learn(now, MemberInfo { state, ..info });
             actions.push(Action::Changed);
         }
         actions.dedup();
@@ -87,34 +87,34 @@
     /// e.g. since two halves of the data centre were cut apart, it contradicts.
     pub(super) fn try_gone(&mut self, actions: &mut Vec<Action>) {
         let home = &self.me.data_centre;
-        let gone = self.table.iter().map(|entry| &entry.news);
+        let gone = self.table.iter().map(|entry| &entry.info);
         let gone = gone.filter(|n| n.state == State::Gone && n.data_centre == *home);
-        let chosen = gone.choose(&mut self.rng).map(|news| news.id.clone());
+        let chosen = gone.choose(&mut self.rng).map(|info| info.id.clone());
         if let Some(id) = chosen {
             self.send(&id, actions);
         }
     }
 
     /// The tables that a peer lacks, by the hashes that it sent.
-    pub fn compare(&self, compare: &Compare) -> Tables {
+    pub fn differing_tables(&self, compare: &Compare) -> Tables {
         let digests = self.table.digests();
         let differs = |name: &DataCentre| digests.get(name) != compare.digests.get(name);
-        let entries = self.table.iter().map(|entry| &entry.news);
-        let news = entries.filter(|news| differs(&news.data_centre));
+        let entries = self.table.iter().map(|entry| &entry.info);
+        let members = entries.filter(|info| differs(&info.data_centre));
         Tables {
-            news: news.cloned().collect(),
+            members: members.cloned().collect(),
         }
     }
 
     /// The tables that a peer sent. What they hold has been spread before; passing it on
     /// again would cost each proxy a message about every other one after a restart.
-    pub fn compared(&mut self, now: Time, tables: Tables) -> Vec<Action> {
+    pub fn tables_received(&mut self, now: Time, tables: Tables) -> Vec<Action> {
         let mut changed = false;
-        for news in tables.news {
-            changed |= if news.id == self.me.id {
-                self.contradict(now, &news)
+        for info in tables.members {
+            changed |= if info.id == self.me.id {
+                self.contradict(now, &info)
             } else {
-                self.table.take(now, news)
+                self.table.take(now, info)
             };
         }
         Vec::from_iter(changed.then_some(Action::Changed))
--- a/crates/policy/src/membership/table.rs
+++ b/crates/policy/src/membership/table.rs
@@ -61,8 +61,8 @@
     #[serde(default)]
     pub draining: bool,
     /// Whether it lately failed to reach the store: another one should watch.
-    #[serde(default)]
-    pub storeless: bool,
+    #[serde(rename = "storeless", default)]
+    pub store_unreachable: bool,
 }
 
 impl MemberInfo {
@@ -75,7 +75,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
     /// What is known of it.
-    pub news: MemberInfo,
+    pub info: MemberInfo,
     /// When its state last changed here.
     pub since: Time,
 }
@@ -89,14 +89,14 @@
 
 impl Table {
     /// Takes in news; returns whether it was newer than what was known.
-    pub fn take(&mut self, now: Time, news: MemberInfo) -> bool {
-        let known = self.entries.get(&news.id);
-        if known.is_some_and(|entry| entry.news.rank() >= news.rank()) {
+    pub fn take(&mut self, now: Time, info: MemberInfo) -> bool {
+        let known = self.entries.get(&info.id);
+        if known.is_some_and(|entry| entry.info.rank() >= info.rank()) {
             return false;
         }
-        let changed = known.is_none_or(|entry| entry.news.state != news.state);
+        let changed = known.is_none_or(|entry| entry.info.state != info.state);
         let since = known.filter(|_| !changed).map_or(now, |entry| entry.since);
-        self.entries.insert(news.id.clone(), Entry { news, since });
+        self.entries.insert(info.id.clone(), Entry { info, since });
         true
     }
 
@@ -112,19 +112,19 @@
 
     /// Proxies that count as running: live ones, and suspected ones until they are gone.
     pub fn running(&self) -> impl Iterator<Item = &MemberInfo> {
-        let news = self.entries.values().map(|entry| &entry.news);
-        news.filter(|news| news.state != State::Gone)
+        let info = self.entries.values().map(|entry| &entry.info);
+        info.filter(|info| info.state != State::Gone)
     }
 
     /// Running proxies of a data centre.
     pub fn running_in<'a>(&'a self, place: &'a DataCentre) -> impl Iterator<Item = &'a MemberInfo> {
         self.running()
-            .filter(move |news| news.data_centre == *place)
+            .filter(move |info| info.data_centre == *place)
     }
 
     /// Every known data centre, in a common order.
     pub fn data_centres(&self) -> Vec<DataCentre> {
-        let names = self.entries.values().map(|e| &e.news.data_centre);
+        let names = self.entries.values().map(|e| &e.info.data_centre);
         let mut names: Vec<_> = names.cloned().collect();
         names.sort();
         names.dedup();
@@ -134,17 +134,17 @@
     /// Drops gone proxies whose state has not changed since `before`.
     pub fn forget(&mut self, before: Time) {
         self.entries
-            .retain(|_, e| e.news.state != State::Gone || e.since >= before);
+            .retain(|_, e| e.info.state != State::Gone || e.since >= before);
     }
 
     /// A hash of what is known of each data centre's running proxies, to find out cheaply
     /// whether two tables agree.
     pub fn digests(&self) -> IndexMap<DataCentre, u64> {
         let mut digests = IndexMap::new();
-        for news in self.running() {
-            let name = news.data_centre.clone();
-            let state = news.state.name();
-            let parts = [news.id.as_str(), &news.incarnation.to_string(), state].map(str::to_owned);
+        for info in self.running() {
+            let name = info.data_centre.clone();
+            let state = info.state.name();
+            let parts = [info.id.as_str(), &info.incarnation.to_string(), state].map(str::to_owned);
             let hash = hash::of(parts.iter().map(String::as_str));
             let digest: &mut u64 = digests.entry(name).or_default();
             // Addition does not depend on the order of the entries.
--- a/crates/policy/src/placement.rs
+++ b/crates/policy/src/placement.rs
@@ -25,9 +25,9 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Route<'a> {
     /// By the proxy that accepted it.
-    Here,
+    Local,
     /// By one of these, the one to try first in front.
-    Through(Vec<&'a Peer>),
+    Via(Vec<&'a Peer>),
 }
 
 /// The data centres that hold a group's backend servers.
@@ -35,7 +35,7 @@
 
 /// The live proxies that serve a group: the highest by rendezvous hash in each of its
 /// data centres, so that a proxy which comes or goes moves only its own part.
-pub fn servers<'a>(group: &GroupId, homes: &Homes, live: &'a [Peer]) -> Vec<&'a Peer> {
+pub fn serving_proxies<'a>(group: &GroupId, homes: &Homes, live: &'a [Peer]) -> Vec<&'a Peer> {
     let mut found = Vec::new();
     for home in homes {
         let mut there: Vec<_> = live
@@ -61,9 +61,9 @@
 /// centres are cut off, or membership has just started; it shows as a group without
 /// servers. Serving it here costs a few connections, refusing it would cost answers.
 pub fn route<'a>(group: &GroupId, homes: &Homes, me: &Peer, live: &'a [Peer]) -> Route<'a> {
-    let mut servers = servers(group, homes, live);
+    let mut servers = serving_proxies(group, homes, live);
     if servers.is_empty() || servers.iter().any(|p| p.id == me.id) {
-        return Route::Here;
+        return Route::Local;
     }
     // Nearest first; among equals a choice that differs between entry proxies, so that
     // the connections of one data centre spread over the group's servers.
@@ -72,5 +72,5 @@
         (me.location.distance(&p.location), spread)
     };
     servers.sort_by_cached_key(key);
-    Route::Through(servers)
+    Route::Via(servers)
 }
--- a/crates/policy/src/pooler.rs
+++ b/crates/policy/src/pooler.rs
@@ -16,11 +16,11 @@
 /// Connections for each proxy from which on all proxies hold their own. With one for each,
 /// and as many again for a moment, twelve proxies before 23 connections served more than
 /// three carriers did, and none of them waited for a carrier after a restart of all.
-const OWN_CONNECTIONS: u32 = 1;
+const DIRECT_CONNECTIONS: u32 = 1;
 
 /// Connections that a carrier should have: an instance has a few slots, and about as many
 /// connections again are held by transactions that pause.
-const CARRIER_CONNECTIONS: u32 = 4;
+const POOLER_CONNECTIONS: u32 = 4;
 
 /// What a proxy's part is hashed for, as a carrier and as a borrower.
 const CARRIER: &str = "carrier";
@@ -41,7 +41,7 @@
     /// Proxies that hold connections, over all data centres.
     pub holders: u32,
     /// Whether this proxy is one of them.
-    pub own: bool,
+    pub is_holder: bool,
     /// Proxies of this data centre to go through, the first one first; empty where all
     /// proxies hold their own. Those behind the carriers stand in for them.
     pub poolers: Vec<ProxyId>,
@@ -62,10 +62,10 @@
     }
     let size = |ids: &IndexSet<_>| u32::try_from(ids.len()).unwrap_or(u32::MAX);
     let count = centres.values().map(size).sum();
-    if connections / count >= OWN_CONNECTIONS {
+    if connections / count >= DIRECT_CONNECTIONS {
         return Plan {
             holders: count,
-            own: true,
+            is_holder: true,
             poolers: Vec::new(),
         };
     }
@@ -77,15 +77,15 @@
         centres.into_values().collect()
     };
     let area_count = u32::try_from(areas.len()).unwrap_or(u32::MAX);
-    let each = (connections / (area_count * CARRIER_CONNECTIONS)).max(1);
+    let each = (connections / (area_count * POOLER_CONNECTIONS)).max(1);
     let holders = areas.iter().map(|ids| each.min(size(ids))).sum();
     let here = areas.into_iter().find(|ids| ids.contains(&me.id));
     let here = here.unwrap_or_default();
-    let (carriers, others) = carriers(group, each, me, here.into_iter().collect());
+    let (poolers, others) = poolers(group, each, me, here.into_iter().collect());
     Plan {
         holders,
-        own: carriers.contains(&&me.id),
-        poolers: carriers.into_iter().chain(others).cloned().collect(),
+        is_holder: poolers.contains(&&me.id),
+        poolers: poolers.into_iter().chain(others).cloned().collect(),
     }
 }
 
@@ -95,7 +95,7 @@
 /// The proxies are divided into `each` parts by a hash, and the first one of each part
 /// carries. A borrower begins with the part that another hash picks: borrowers spread over
 /// the carriers, and if one goes, those that go through the others stay with them.
-fn carriers<'a>(
+fn poolers<'a>(
     group: &GroupId,
     each: u32,
     me: &Proxy,
@@ -106,10 +106,10 @@
     let mut taken = IndexSet::new();
     let all = here.len() <= each as usize;
     let carries = |id: &&ProxyId| taken.insert(part(CARRIER, id)) || all;
-    let (mut carriers, others): (Vec<_>, Vec<_>) = here.into_iter().partition(carries);
-    carriers.sort_by_key(|id| part(CARRIER, id));
+    let (mut poolers, others): (Vec<_>, Vec<_>) = here.into_iter().partition(carries);
+    poolers.sort_by_key(|id| part(CARRIER, id));
     let picked = part(BORROWER, &me.id);
-    let first = carriers.partition_point(|id| part(CARRIER, id) < picked);
-    carriers.rotate_left(first);
-    (carriers, others)
+    let first = poolers.partition_point(|id| part(CARRIER, id) < picked);
+    poolers.rotate_left(first);
+    (poolers, others)
 }
--- a/crates/policy/src/pooler_retry.rs
+++ b/crates/policy/src/pooler_retry.rs
@@ -23,7 +23,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GrantFailure {
     /// It did not answer.
-    Silent,
+    Unresponsive,
     /// It stops.
     Stopping,
     /// It does not know the group yet.
@@ -58,7 +58,7 @@
     pub fn failed(&mut self, miss: GrantFailure, more: bool) -> Next {
         self.asked += 1;
         match miss {
-            GrantFailure::Silent | GrantFailure::Stopping => {}
+            GrantFailure::Unresponsive | GrantFailure::Stopping => {}
             GrantFailure::Starting => self.answers += 1,
             GrantFailure::Unreachable => {
                 self.answers += 1;
--- a/crates/policy/src/share.rs
+++ b/crates/policy/src/share.rs
@@ -117,9 +117,11 @@
     /// Lent connections that the borrower may hold.
     pub amount: u32,
     /// How long, from when the request was sent.
-    pub lasts: Span,
+    #[serde(rename = "lasts")]
+    pub duration: Span,
     /// Whether proxies ask for more than the pool holds.
-    pub pressed: bool,
+    #[serde(rename = "pressed")]
+    pub oversubscribed: bool,
     /// Connections that the proxies at work may hold together, the floors included.
     #[serde(default)]
     pub shared: u32,
@@ -130,7 +132,10 @@
 pub const LEASE_MARGIN_DIVISOR: u64 = 10;
 
 /// The proxy that should lend for `place`: highest random weight over the live ones.
-pub fn choose<'a>(place: &str, live: impl IntoIterator<Item = &'a ProxyId>) -> Option<&'a ProxyId> {
+pub fn choose_lender<'a>(
+    place: &str,
+    live: impl IntoIterator<Item = &'a ProxyId>,
+) -> Option<&'a ProxyId> {
     let weight = |proxy: &&ProxyId| (hash::of([place, proxy.as_str()]), (*proxy).clone());
     live.into_iter().max_by_key(weight)
 }
--- a/crates/policy/src/share/borrower.rs
+++ b/crates/policy/src/share/borrower.rs
@@ -37,7 +37,7 @@
     asked: Option<ProxyId>,
     stamp: Option<(ProxyId, Stamp)>,
     held: Held,
-    pressed: bool,
+    oversubscribed: bool,
     shared: u32,
 }
 
@@ -53,7 +53,7 @@
             asked: None,
             stamp: None,
             held: Held::default(),
-            pressed: false,
+            oversubscribed: false,
             shared: 0,
         }
     }
@@ -72,14 +72,14 @@
     }
 
     /// When what may be open falls by itself, unless a loan is renewed before.
-    pub fn lapses(&self) -> Time {
+    pub fn expires_at(&self) -> Time {
         self.held.until
     }
 
     /// Whether others want more than there is, so that idle connections are
     /// better lent on than kept warm.
-    pub fn pressed(&self) -> bool {
-        self.pressed
+    pub fn oversubscribed(&self) -> bool {
+        self.oversubscribed
     }
 
     /// Connections that all proxies at work may hold together, to take this proxy's
@@ -99,7 +99,7 @@
     }
 
     /// The next request, to be sent to `lender` now.
-    pub fn ask(&mut self, lender: &ProxyId, demand: Demand, now: Time) -> LoanRequest {
+    pub fn request(&mut self, lender: &ProxyId, demand: Demand, now: Time) -> LoanRequest {
         let floor = self.terms.floor();
         let want = demand.want.saturating_sub(floor);
         let open = demand.open.saturating_sub(floor);
@@ -130,19 +130,19 @@
 
     /// Takes an answer of `from`; older answers than to the last request are void,
     /// because the promise in that request replaced them.
-    pub fn answered(&mut self, from: &ProxyId, answer: &LoanResponse) {
+    pub fn response_received(&mut self, from: &ProxyId, answer: &LoanResponse) {
         if answer.seq != self.seq || self.asked.as_ref() != Some(from) {
             return;
         }
         self.stamp = Some((from.clone(), answer.stamp));
         if let Some(loan) = answer.loan {
-            let margin = loan.lasts.as_micros() / MARGIN_DIVISOR;
-            let usable = Span::from_micros(loan.lasts.as_micros() - margin);
+            let margin = loan.duration.as_micros() / MARGIN_DIVISOR;
+            let usable = Span::from_micros(loan.duration.as_micros() - margin);
             self.held = Held {
                 amount: loan.amount,
                 until: self.sent + usable,
             };
-            self.pressed = loan.pressed;
+            self.oversubscribed = loan.oversubscribed;
             self.shared = loan.shared;
         }
     }
--- a/crates/policy/src/share/lender.rs
+++ b/crates/policy/src/share/lender.rs
@@ -62,7 +62,7 @@
         if until <= now {
             return;
         }
-        if !self.reigns(now) {
+        if !self.has_authority(now) {
             self.reign = Some(now);
         }
         self.authority = self.authority.max(until);
@@ -74,17 +74,17 @@
     }
 
     /// Whether this lender may lend.
-    pub fn reigns(&self, now: Time) -> bool {
+    pub fn has_authority(&self, now: Time) -> bool {
         now < self.authority
     }
 
     /// Answers a request; `None` for one that came late or twice.
-    pub fn ask(&mut self, ask: &LoanRequest, now: Time) -> Option<LoanResponse> {
+    pub fn respond(&mut self, ask: &LoanRequest, now: Time) -> Option<LoanResponse> {
         let known = self.records.get(&ask.from);
         if known.is_some_and(|r| ask.seq <= r.seq) {
             return None;
         }
-        let reign = self.reign.filter(|_| self.reigns(now));
+        let reign = self.reign.filter(|_| self.has_authority(now));
         let loan = reign.and_then(|since| self.lend(ask, since, now));
         Some(LoanResponse {
             instance: self.instance.clone(),
@@ -119,8 +119,8 @@
         let shared: u32 = active.map(|r| r.amount + self.terms.floor()).sum();
         Some(Loan {
             amount,
-            lasts: self.terms.loan,
-            pressed: wanted > self.terms.pool(),
+            duration: self.terms.loan,
+            oversubscribed: wanted > self.terms.pool(),
             shared,
         })
     }
--- a/crates/policy/src/store_watch.rs
+++ b/crates/policy/src/store_watch.rs
@@ -67,7 +67,7 @@
     }
 
     /// A call was answered.
-    pub fn answered(&mut self) {
+    pub fn succeeded(&mut self) {
         self.pause = PAUSES.0;
         self.wait = self.wait.times(2).min(full_wait(self.in_force_within));
     }
--- a/crates/policy/tests/fallback.rs
+++ b/crates/policy/tests/fallback.rs
@@ -30,7 +30,7 @@
         .chain((0..4).map(|n| proxy(&format!("b{n}"), "b")))
         .chain((0..4).map(|n| proxy(&format!("c{n}"), "c")))
         .collect();
-    let peers = fallback::peers(&group, &live[0], &live);
+    let peers = fallback::candidates(&group, &live[0], &live);
     assert_eq!(peers.len(), 11);
     let centres: Vec<_> = peers.iter().take(3).map(|p| &p.as_str()[..1]).collect();
     assert_eq!(centres, ["a", "b", "c"]);
--- a/crates/policy/tests/fleet/main.rs
+++ b/crates/policy/tests/fleet/main.rs
@@ -194,8 +194,8 @@
         let current = proxy.adopter.current().map(|c| c.revision);
         assert_eq!(current, Some(revision), "{me} lacks the newest revision");
         let table = proxy.member.table();
-        let live = table.iter().filter(|e| e.news.state == State::Live);
-        let mut live: Vec<_> = live.map(|e| e.news.id.clone()).collect();
+        let live = table.iter().filter(|e| e.info.state == State::Live);
+        let mut live: Vec<_> = live.map(|e| e.info.id.clone()).collect();
         live.sort();
         assert_eq!(live, running, "{me} sees other proxies");
     }
@@ -271,7 +271,7 @@
             .member
             .table()
             .get(&id)
-            .map(|e| e.news.state)
+            .map(|e| e.info.state)
     };
     assert_eq!(state(&world), Some(State::Gone));
     world.run(Span::from_millis(40_000));
@@ -298,7 +298,7 @@
     assert!(
         states
             .into_iter()
-            .all(|entry| entry.news.state == State::Live)
+            .all(|entry| entry.info.state == State::Live)
     );
     world.cuts.clear();
     world.run(Span::from_millis(5_000));
--- a/crates/policy/tests/fleet/world.rs
+++ b/crates/policy/tests/fleet/world.rs
@@ -103,7 +103,7 @@
             incarnation: 0,
             state: State::Live,
             draining: false,
-            storeless: false,
+            store_unreachable: false,
         };
         let seeds = (0..at).map(address).collect();
         self.proxies.push(Proxy {
@@ -187,7 +187,7 @@
             return;
         }
         let failure = if self.proxies[to].alive || !self.reaches(from, to) {
-            Failure::Silent
+            Failure::Unresponsive
         } else {
             Failure::Refused
         };
@@ -236,21 +236,21 @@
                 self.answer(to, from, &Body::BeatAnswer(answer));
                 actions
             }
-            Body::BeatAnswer(answer) => proxy.member.answered(now, answer),
+            Body::BeatAnswer(answer) => proxy.member.response_received(now, answer),
             Body::Compare(compare) => {
-                let tables = proxy.member.compare(&compare);
+                let tables = proxy.member.differing_tables(&compare);
                 self.answer(to, from, &Body::Tables(tables));
                 Vec::new()
             }
-            Body::Tables(tables) => proxy.member.compared(now, tables),
+            Body::Tables(tables) => proxy.member.tables_received(now, tables),
             Body::Fetch(after) => {
-                let delta = proxy.adopter.since(after);
+                let delta = proxy.adopter.changes_since(after);
                 self.answer(to, from, &Body::Delta(delta));
                 Vec::new()
             }
             Body::Delta(delta) => return self.merge(to, from, delta),
-            Body::Failed(peer, failure, true) => proxy.member.failed(now, &peer, failure),
-            Body::Failed(peer, _, false) => proxy.member.fetched(now, &peer, false),
+            Body::Failed(peer, failure, true) => proxy.member.heartbeat_failed(now, &peer, failure),
+            Body::Failed(peer, _, false) => proxy.member.fetch_finished(now, &peer, false),
         };
         self.perform(to, actions);
     }
@@ -271,8 +271,8 @@
         let more = delta.more;
         proxy.adopter.merge(delta);
         let complete = proxy.adopter.complete();
-        let mut actions = proxy.member.advanced(now, complete);
-        actions.extend(proxy.member.fetched(now, &peer, more));
+        let mut actions = proxy.member.revision_advanced(now, complete);
+        actions.extend(proxy.member.fetch_finished(now, &peer, more));
         self.perform(at, actions);
     }
 
@@ -288,14 +288,14 @@
         let actions = if down {
             proxy.member.store_failed(now)
         } else {
-            proxy.member.store_answered(now);
+            proxy.member.store_responded(now);
             proxy.adopter.merge(Delta {
                 after: proxy.adopter.complete(),
                 records: vec![self.head.clone()],
                 complete: self.head.revision,
                 more: false,
             });
-            proxy.member.advanced(now, self.head.revision)
+            proxy.member.revision_advanced(now, self.head.revision)
         };
         self.perform(at, actions);
     }
--- a/crates/policy/tests/placement.rs
+++ b/crates/policy/tests/placement.rs
@@ -39,7 +39,7 @@
     let live = fleet(3, 3);
     for me in &live {
         let route = placement::route(&group(1), &homes(&[0, 1, 2]), me, &live);
-        assert_eq!(route, Route::Here);
+        assert_eq!(route, Route::Local);
     }
 }
 
@@ -50,7 +50,7 @@
     let mut shuffled = live.clone();
     shuffled.reverse();
     let names = |live: &[Peer]| -> IndexSet<_> {
-        let servers = placement::servers(&group(7), &homes, live);
+        let servers = placement::serving_proxies(&group(7), &homes, live);
         servers.into_iter().map(|p| p.id.clone()).collect()
     };
     let mut a = names(&live);
@@ -65,7 +65,7 @@
 fn passed_on_to_the_nearest_server_first() {
     let live = fleet(6, 20);
     let me = proxy(1, 19);
-    let Route::Through(servers) = placement::route(&group(7), &homes(&[0, 4]), &me, &live) else {
+    let Route::Via(servers) = placement::route(&group(7), &homes(&[0, 4]), &me, &live) else {
         panic!("a proxy outside the group's data centres serves it");
     };
     let near = servers.iter().map(|p| me.location.distance(&p.location));
@@ -85,7 +85,7 @@
     let live = [me.clone()];
     assert_eq!(
         placement::route(&group(1), &homes(&[0, 1]), &me, &live),
-        Route::Here
+        Route::Local
     );
 }
 
@@ -94,7 +94,7 @@
     let live = fleet(1, 90);
     let mut load: IndexMap<_, usize> = IndexMap::new();
     for n in 0..3_000 {
-        for server in placement::servers(&group(n), &homes(&[0]), &live) {
+        for server in placement::serving_proxies(&group(n), &homes(&[0]), &live) {
             *load.entry(server.id.clone()).or_default() += 1;
         }
     }
@@ -112,8 +112,8 @@
     let before = fleet(1, 30);
     let after = &before[1..];
     for n in 0..500 {
-        let old = placement::servers(&group(n), &homes(&[0]), &before);
-        let new = placement::servers(&group(n), &homes(&[0]), after);
+        let old = placement::serving_proxies(&group(n), &homes(&[0]), &before);
+        let new = placement::serving_proxies(&group(n), &homes(&[0]), after);
         let kept = old.iter().filter(|p| p.id != before[0].id);
         assert!(kept.into_iter().all(|p| new.contains(p)));
     }
--- a/crates/policy/tests/pooler.rs
+++ b/crates/policy/tests/pooler.rs
@@ -22,7 +22,7 @@
 fn with_enough_connections_each_proxy_holds_its_own() {
     let live = fleet(3, 2);
     let plan = plan(&group(0), 34, &live[0], &live);
-    assert!(plan.own && plan.poolers.is_empty());
+    assert!(plan.is_holder && plan.poolers.is_empty());
     assert_eq!(plan.holders, 6);
 }
 
@@ -35,7 +35,7 @@
         let plan = plan(&group(0), 41, me, &live);
         assert_eq!(plan.holders, 6);
         let carrier = plan.poolers.first().unwrap();
-        assert_eq!(plan.own, *carrier == me.id);
+        assert_eq!(plan.is_holder, *carrier == me.id);
         let carrier = live.iter().find(|p| p.id == *carrier).unwrap();
         assert_eq!(carrier.data_centre, me.data_centre);
     }
@@ -73,11 +73,11 @@
         .iter()
         .map(|me| plan(&group(0), connections, me, &live))
         .collect();
-    let own: Vec<_> = (0..live.len()).filter(|at| plans[*at].own).collect();
-    assert_eq!(own.len(), holders as usize);
+    let is_holder: Vec<_> = (0..live.len()).filter(|at| plans[*at].is_holder).collect();
+    assert_eq!(is_holder.len(), holders as usize);
     for plan in &plans {
         assert_eq!(plan.holders, holders);
-        assert!(own.iter().any(|at| plan.poolers[0] == live[*at].id));
+        assert!(is_holder.iter().any(|at| plan.poolers[0] == live[*at].id));
     }
 }
 
@@ -117,5 +117,5 @@
 fn a_proxy_that_knows_no_other_serves_by_itself() {
     let me = &fleet(1, 1)[0];
     let plan = plan(&group(0), 1, me, &[]);
-    assert!(plan.own && plan.poolers.is_empty());
+    assert!(plan.is_holder && plan.poolers.is_empty());
 }
--- a/crates/policy/tests/pooler_retry.rs
+++ b/crates/policy/tests/pooler_retry.rs
@@ -19,7 +19,7 @@
 /// Guards against a restart of all after which every proxy opens connections to every
 /// instance: carriers that start are asked again.
 #[test_case(&[GrantFailure::Starting; 4])]
-#[test_case(&[GrantFailure::Silent, GrantFailure::Starting, GrantFailure::Silent, GrantFailure::Silent])]
+#[test_case(&[GrantFailure::Unresponsive, GrantFailure::Starting, GrantFailure::Unresponsive, GrantFailure::Unresponsive])]
 #[test_case(&[GrantFailure::Stopping, GrantFailure::Starting, GrantFailure::Starting])]
 fn carriers_that_start_are_asked_again(misses: &[GrantFailure]) {
     assert!(matches!(round(misses).0, Next::RetryAfter(_)));
@@ -29,11 +29,11 @@
 /// behind them stand in, and without any the proxy serves by itself.
 #[test]
 fn proxies_stand_in_for_carriers_that_are_gone() {
-    let gone = [GrantFailure::Silent; 4];
+    let gone = [GrantFailure::Unresponsive; 4];
     let stand_in = [gone.as_slice(), &[GrantFailure::Starting; 3]].concat();
     assert_eq!(round(&stand_in).1, 6);
     assert_eq!(round(&gone).0, Next::OwnPool);
-    assert_eq!(round(&[GrantFailure::Silent; 33]), (Next::OwnPool, 6));
+    assert_eq!(round(&[GrantFailure::Unresponsive; 33]), (Next::OwnPool, 6));
 }
 
 /// Guards against a data centre whose carriers all lost a group that others reach.
@@ -59,7 +59,7 @@
     let state = |carrier: u64, now: u64| {
         let runs = carrier * 17 % RUNS;
         match now {
-            _ if now < runs => Some(GrantFailure::Silent),
+            _ if now < runs => Some(GrantFailure::Unresponsive),
             _ if now < runs + LEARNS => Some(GrantFailure::Starting),
             _ => None,
         }
--- a/crates/policy/tests/store_watch.rs
+++ b/crates/policy/tests/store_watch.rs
@@ -42,7 +42,7 @@
             at = outage.cut + follow.failed(&mut rng);
         } else if at < outage.dropped {
             // A watch that the store lost track of says nothing until it ends.
-            follow.answered();
+            follow.succeeded();
             at = ends + ROUND_TRIP;
         } else if at >= changed {
             // The store says that the history is gone, and everything is listed.
@@ -100,7 +100,7 @@
     follow.failed(&mut StdRng::seed_from_u64(1));
     assert!(follow.wait() < ms(500));
     for _ in 0..5 {
-        follow.answered();
+        follow.succeeded();
     }
     assert_eq!(follow.wait(), full);
 }
--- a/crates/policy/tests/world/mod.rs
+++ b/crates/policy/tests/world/mod.rs
@@ -221,7 +221,7 @@
             active: p.open > 0,
             busy: p.busy.unwrap_or(p.open).min(p.open),
         };
-        let ask = p.borrower.ask(&lender, demand, p.now(real));
+        let ask = p.borrower.request(&lender, demand, p.now(real));
         p.settle(real);
         let from = p.id.clone();
         self.messages.push(Message {
@@ -252,7 +252,7 @@
         }
         match message.body {
             Body::Ask(ask) => {
-                let answer = p.lender.ask(&ask, p.now(real));
+                let answer = p.lender.respond(&ask, p.now(real));
                 self.messages.extend(answer.map(|answer| Message {
                     from: message.to,
                     to: message.from,
@@ -260,7 +260,7 @@
                 }));
             }
             Body::Answer(answer) => {
-                p.borrower.answered(&message.from, &answer);
+                p.borrower.response_received(&message.from, &answer);
                 p.settle(real);
             }
         }
--- a/crates/proxy/src/member/exchange.rs
+++ b/crates/proxy/src/member/exchange.rs
@@ -103,6 +103,6 @@
 fn failure(e: &Error) -> Failure {
     match e {
         Error::Unreachable(_) => Failure::Refused,
-        _ => Failure::Silent,
+        _ => Failure::Unresponsive,
     }
 }
--- a/crates/proxy/src/member/task.rs
+++ b/crates/proxy/src/member/task.rs
@@ -122,7 +122,7 @@
         incarnation: 0,
         state: State::Live,
         draining: false,
-        storeless: false,
+        store_unreachable: false,
     }
 }
 
@@ -196,12 +196,12 @@
                 self.perform(actions);
             }
             Input::Compare(call) => {
-                let _ = call.reply.send(self.member.compare(&call.req));
+                let _ = call.reply.send(self.member.differing_tables(&call.req));
             }
             Input::Fetch(call) => {
                 let mut span = self.setup.tracer.incoming("records", call.trace);
                 span.set("after", &call.req.after);
-                let _ = call.reply.send(self.adopter.since(call.req.after));
+                let _ = call.reply.send(self.adopter.changes_since(call.req.after));
             }
             Input::View(call) => {
                 let _ = call.reply.send(Nothing {});
@@ -217,23 +217,23 @@
             Input::Tell(to, view) => self.tell(&to, &view),
             Input::End(end) => self.end(now, end),
             Input::Seen(seen) => self.seen(now, seen),
-            Input::Vms(addresses) => self.member.hint(addresses),
+            Input::Vms(addresses) => self.member.add_seeds(addresses),
             Input::Request(req) => self.request(now, req),
         }
     }
 
     fn end(&mut self, now: Time, end: End) {
         let actions = match end {
-            End::Beat(answer) => self.member.answered(now, answer),
-            End::Failed(peer, failure) => self.member.failed(now, &peer, failure),
-            End::Tables(tables) => self.member.compared(now, tables),
+            End::Beat(answer) => self.member.response_received(now, answer),
+            End::Failed(peer, failure) => self.member.heartbeat_failed(now, &peer, failure),
+            End::Tables(tables) => self.member.tables_received(now, tables),
             End::Delta(peer, delta) => {
                 let (before, more) = (self.adopter.complete(), delta.more);
                 self.merge(now, delta);
                 let more = more && self.adopter.complete() > before;
-                self.member.fetched(now, &peer, more)
+                self.member.fetch_finished(now, &peer, more)
             }
-            End::NoDelta(peer) => self.member.fetched(now, &peer, false),
+            End::NoDelta(peer) => self.member.fetch_finished(now, &peer, false),
         };
         self.perform(actions);
     }
@@ -241,10 +241,10 @@
     fn seen(&mut self, now: Time, seen: Seen) {
         match seen {
             Seen::Delta(delta) => {
-                self.member.store_answered(now);
+                self.member.store_responded(now);
                 self.merge(now, delta);
             }
-            Seen::Answered => self.member.store_answered(now),
+            Seen::Answered => self.member.store_responded(now),
             Seen::Failed => {
                 let actions = self.member.store_failed(now);
                 self.perform(actions);
@@ -268,7 +268,7 @@
                 }
             }
         }
-        let actions = self.member.advanced(now, self.adopter.complete());
+        let actions = self.member.revision_advanced(now, self.adopter.complete());
         self.perform(actions);
     }
 
@@ -278,7 +278,7 @@
                 let entries = self.member.table().iter();
                 let _ = tx.send(Snapshot {
                     me: self.member.me().clone(),
-                    members: entries.map(|entry| entry.news.clone()).collect(),
+                    members: entries.map(|entry| entry.info.clone()).collect(),
                     watching: self.watch.is_some(),
                     complete: self.adopter.complete(),
                 });
--- a/crates/proxy/src/share/task.rs
+++ b/crates/proxy/src/share/task.rs
@@ -134,7 +134,7 @@
         let now = self.now();
         let answer = |ask: &share::LoanRequest| {
             let server = self.servers.get_mut(&ask.instance)?;
-            server.lender.ask(ask, now)
+            server.lender.respond(ask, now)
         };
         asks.iter().filter_map(answer).collect()
     }
@@ -142,7 +142,7 @@
     fn take(&mut self, from: &ProxyId, answers: &Answers) {
         for answer in answers {
             if let Some(server) = self.servers.get_mut(&answer.instance) {
-                server.borrower.answered(from, answer);
+                server.borrower.response_received(from, answer);
             }
         }
         self.apply();
@@ -193,8 +193,8 @@
     fn lender(&self, data_centre: &DataCentre) -> Option<&ProxyId> {
         let near = |(_, live): &(&ProxyId, &Live)| live.data_centre == *data_centre;
         let locals = self.live.iter().filter(near).map(|(id, _)| id);
-        let chosen = share::choose(data_centre.as_str(), locals);
-        chosen.or_else(|| share::choose(data_centre.as_str(), self.live.keys()))
+        let chosen = share::choose_lender(data_centre.as_str(), locals);
+        chosen.or_else(|| share::choose_lender(data_centre.as_str(), self.live.keys()))
     }
 
     /// Takes the keys that this proxy should hold and gives the others back.
@@ -308,7 +308,7 @@
         }
         let demand = server.demand(usage, leaving, now);
         server.asked = Some(now);
-        let ask = server.borrower.ask(&lender, demand, now);
+        let ask = server.borrower.request(&lender, demand, now);
         Some((lender, ask))
     }
 
@@ -370,7 +370,7 @@
             self.peak = used;
             self.peak_at = now;
         }
-        let want = match (leaving, self.borrower.pressed()) {
+        let want = match (leaving, self.borrower.oversubscribed()) {
             (true, _) => usage.busy,
             (false, true) => used + 1,
             (false, false) => self.peak + 1,
