--- a/crates/policy/src/fallback.rs
+++ b/crates/policy/src/fallback.rs
@@ -1,11 +1,11 @@
-//! Through which other proxy a group is reached that this proxy cannot reach itself.
+//! Which remote proxy serves a group that this proxy cannot reach itself.
 //!
-//! Load: a cut leaves some proxies on the wrong side of a new primary, or all connections
-//! of an instance are taken, many of them by VMs that lost power a moment ago. Harm without
-//! it: the callers of those proxies are refused until the cut heals or the instance drops
-//! dead connections after 3 s, while a proxy beside them could serve them. Finding one
-//! costs each proxy a few questions; asked by every statement they would be a storm, so one
-//! statement asks for all, a few proxies at a time.
+//! Under load, a partition separates some proxies from a new primary, or all connections of
+//! an instance are in use, many of them VMs that have just lost power. Without a fallback, the
+//! callers of those proxies would be rejected until the partition heals or the instance
+//! drops dead connections after 3 s, although another proxy could serve them. Finding one
+//! costs each proxy a few queries. If every statement sent them, they would flood the
+//! proxies, so one statement searches for all, a few proxies at a time.
 
 use indexmap::IndexMap;
 use model::id::{DataCentre, GroupId, ProxyId};
@@ -14,71 +14,75 @@
 use crate::pooler::Proxy;
 use crate::rank;
 
-/// Proxies that are asked in one round.
-const ROUND: usize = 3;
+/// Proxies that one search queries.
+const SEARCH_SIZE: usize = 3;
 
-/// Pause between two rounds. The first is over within a round trip; the next asks others.
-const PAUSE: Span = Span::from_millis(150);
+/// Time between two searches. One takes about a round trip; the next one queries
+/// other proxies.
+const SEARCH_INTERVAL: Span = Span::from_millis(150);
 
-/// What a statement does that this proxy cannot serve itself.
+/// How a statement is served that this proxy cannot serve itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FallbackChoice {
-    /// Asks the proxy that served one before.
+    /// By the proxy that served the last one.
     Known(ProxyId),
-    /// Asks these, one after the other, on behalf of all.
+    /// By one of these proxies, queried one after the other on behalf of all statements.
     Search(Vec<ProxyId>),
-    /// Waits here.
+    /// Not by another proxy for now: the statement waits here.
     None,
 }
 
-/// The search for a way to one group.
+/// The search for a proxy that serves one group.
 #[derive(Clone, Debug, Default)]
 pub struct Fallback {
     known: Option<ProxyId>,
-    searched: Option<Time>,
-    /// Proxies asked so far, to go on behind them.
-    asked: usize,
+    last_search: Option<Time>,
+    /// Position among the candidates at which the next search starts.
+    next: usize,
 }
 
 impl Fallback {
-    /// What the next statement does; `peers` are the other proxies, the best one first.
-    pub fn choose(&mut self, peers: &[ProxyId], now: Time) -> FallbackChoice {
+    /// How the next statement is served; `candidates` are ordered by preference.
+    pub fn choose(&mut self, candidates: &[ProxyId], now: Time) -> FallbackChoice {
         if let Some(known) = &self.known {
             return FallbackChoice::Known(known.clone());
         }
-        let early = self.searched.is_some_and(|at| now.since(at) < PAUSE);
-        if early || peers.is_empty() {
+        let too_early = self
+            .last_search
+            .is_some_and(|at| now.since(at) < SEARCH_INTERVAL);
+        if too_early || candidates.is_empty() {
             return FallbackChoice::None;
         }
-        self.searched = Some(now);
-        let first = self.asked % peers.len();
-        let round = peers
+        self.last_search = Some(now);
+        let first = self.next % candidates.len();
+        let batch = candidates
             .iter()
             .cycle()
             .skip(first)
-            .take(ROUND.min(peers.len()));
-        let round: Vec<_> = round.cloned().collect();
-        self.asked = first + round.len();
-        FallbackChoice::Search(round)
+            .take(SEARCH_SIZE.min(candidates.len()));
+        let batch: Vec<_> = batch.cloned().collect();
+        self.next = first + batch.len();
+        FallbackChoice::Search(batch)
     }
 
-    /// A proxy served a statement; says whether this is news.
-    pub fn found(&mut self, by: &ProxyId) -> bool {
-        let news = self.known.as_ref() != Some(by);
-        self.known = Some(by.clone());
-        news
+    /// Records that a proxy served a statement; returns whether it differs from the
+    /// known one.
+    pub fn found(&mut self, proxy: &ProxyId) -> bool {
+        let is_new = self.known.as_ref() != Some(proxy);
+        self.known = Some(proxy.clone());
+        is_new
     }
 
-    /// The proxy can serve no longer.
-    pub fn lost(&mut self, by: &ProxyId) {
-        if self.known.take_if(|known| known == by).is_some() {
-            self.asked = 0;
+    /// Records that a proxy can no longer serve the group.
+    pub fn lost(&mut self, proxy: &ProxyId) {
+        if self.known.take_if(|known| known == proxy).is_some() {
+            self.next = 0;
         }
     }
 }
 
-/// The other proxies in the order in which they are asked: from each data centre first the
-/// one that would carry the group, this data centre before the others.
+/// The other proxies in order of preference: the highest-ranked one of each data centre, then
+/// the second ones, and so on; this data centre comes before the others.
 pub fn candidates(group: &GroupId, me: &Proxy, live: &[Proxy]) -> Vec<ProxyId> {
     let mut centres: IndexMap<&DataCentre, Vec<&ProxyId>> = IndexMap::new();
     centres.insert(&me.data_centre, Vec::new());
@@ -89,7 +93,7 @@
     for ids in centres.values_mut() {
         rank::sort(group.as_str(), ids);
     }
-    let most = centres.values().map(Vec::len).max().unwrap_or_default();
-    let ranks = (0..most).flat_map(|rank| centres.values().filter_map(move |ids| ids.get(rank)));
+    let longest = centres.values().map(Vec::len).max().unwrap_or_default();
+    let ranks = (0..longest).flat_map(|rank| centres.values().filter_map(move |ids| ids.get(rank)));
     ranks.map(|id| (*id).clone()).collect()
 }
--- a/crates/policy/src/pooler.rs
+++ b/crates/policy/src/pooler.rs
@@ -1,11 +1,11 @@
-//! Which proxies hold connections to a group, and through which the others reach it.
+//! Which proxies hold connections to a group, and which ones pool them for the others.
 //!
-//! Load: 65 proxies before instances that accept 41 connections each. Harm without it:
-//! with less than one connection for each proxy, connections are opened and closed around
-//! single statements, and instances spend their slots on handshakes; a quarter of all
-//! statements were refused. So where the connections do not suffice for all, a few
-//! proxies of each data centre carry the group's statements for the others, over
-//! connections that stay open and are shared by many.
+//! Under load, 65 proxies use instances that accept 41 connections each. With less than
+//! one connection for each proxy, connections would be opened and closed around single
+//! statements, and instances would spend their slots on handshakes; a quarter of all
+//! statements were rejected. Where there are too few connections for all proxies, a few
+//! poolers in each data centre execute the group's statements for the others, over
+//! long-lived connections that many proxies share.
 
 use indexmap::{IndexMap, IndexSet};
 use model::hash;
@@ -13,75 +13,78 @@
 
 use crate::rank;
 
-/// Connections for each proxy from which on all proxies hold their own. With one for each,
-/// and as many again for a moment, twelve proxies before 23 connections served more than
-/// three carriers did, and none of them waited for a carrier after a restart of all.
+/// Connections per proxy from which on every proxy holds its own. With one connection each,
+/// and a second one for short times, twelve proxies that shared 23 connections served more
+/// than three poolers did, and none waited for a pooler after all proxies had restarted.
 const DIRECT_CONNECTIONS: u32 = 1;
 
-/// Connections that a carrier should have: an instance has a few slots, and about as many
-/// connections again are held by transactions that pause.
+/// Connections that each pooler should have: an instance has a few slots, and idle
+/// transactions hold about as many connections again.
 const POOLER_CONNECTIONS: u32 = 4;
 
-/// What a proxy's part is hashed for, as a carrier and as a borrower.
-const CARRIER: &str = "carrier";
-const BORROWER: &str = "borrower";
+/// Hash keys for a proxy's bucket as a pooler and as a client. All proxies must use the same
+/// texts to agree on the poolers.
+const POOLER: &str = "carrier";
+const CLIENT_PROXY: &str = "borrower";
 
 /// A live proxy.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Proxy {
-    /// Its name.
+    /// The proxy's id.
     pub id: ProxyId,
     /// Where it runs.
     pub data_centre: DataCentre,
 }
 
-/// How a group's connections are held.
+/// Which proxies hold connections to a group.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Plan {
-    /// Proxies that hold connections, over all data centres.
+    /// Number of proxies that hold connections, over all data centres.
     pub holders: u32,
     /// Whether this proxy is one of them.
     pub is_holder: bool,
-    /// Proxies of this data centre to go through, the first one first; empty where all
-    /// proxies hold their own. Those behind the carriers stand in for them.
+    /// Proxies of this data centre to send requests to, in order of preference: the poolers,
+    /// then the proxies that replace them. With fewer connections than data centres, proxies
+    /// of all data centres. Empty if all proxies hold their own connections.
     pub poolers: Vec<ProxyId>,
 }
 
-/// Plans who holds connections to the instances of a group, each of which accepts
+/// Plans which proxies hold connections to the instances of a group, each of which accepts
 /// `connections`.
 ///
-/// All proxies that know the same live ones come to the same plan. Where they do not, for
-/// some seconds, a proxy that is asked to carry does so all the same. A proxy counts itself
-/// whether it is among the live ones or not: in a rolling restart of a fleet larger than
-/// the limit, a proxy that is not listed yet must not hold more than its place.
+/// Proxies that know the same live ones compute the same plan. While they differ, for some
+/// seconds, a proxy that receives a request as a pooler serves it all the same. A proxy
+/// always counts itself, whether it is listed in `live` or not: in a rolling restart of a
+/// fleet larger than the limit, a proxy that is not listed yet must not hold more
+/// connections than its share.
 pub fn plan(group: &GroupId, connections: u32, me: &Proxy, live: &[Proxy]) -> Plan {
     let mut centres: IndexMap<&DataCentre, IndexSet<&ProxyId>> = IndexMap::new();
     for proxy in live.iter().chain([me]) {
-        let here = centres.entry(&proxy.data_centre).or_default();
-        here.insert(&proxy.id);
+        let local = centres.entry(&proxy.data_centre).or_default();
+        local.insert(&proxy.id);
     }
     let size = |ids: &IndexSet<_>| u32::try_from(ids.len()).unwrap_or(u32::MAX);
-    let count = centres.values().map(size).sum();
-    if connections / count >= DIRECT_CONNECTIONS {
+    let proxies = centres.values().map(size).sum();
+    if connections / proxies >= DIRECT_CONNECTIONS {
         return Plan {
-            holders: count,
+            holders: proxies,
             is_holder: true,
             poolers: Vec::new(),
         };
     }
     let centre_count = u32::try_from(centres.len()).unwrap_or(u32::MAX);
     let areas: Vec<IndexSet<_>> = if connections < centre_count {
-        // Not even one connection for each data centre.
+        // Fewer connections than data centres: each pooler serves all data centres.
         vec![centres.into_values().flatten().collect()]
     } else {
         centres.into_values().collect()
     };
     let area_count = u32::try_from(areas.len()).unwrap_or(u32::MAX);
-    let each = (connections / (area_count * POOLER_CONNECTIONS)).max(1);
-    let holders = areas.iter().map(|ids| each.min(size(ids))).sum();
-    let here = areas.into_iter().find(|ids| ids.contains(&me.id));
-    let here = here.unwrap_or_default();
-    let (poolers, others) = poolers(group, each, me, here.into_iter().collect());
+    let per_area = (connections / (area_count * POOLER_CONNECTIONS)).max(1);
+    let holders = areas.iter().map(|ids| per_area.min(size(ids))).sum();
+    let local = areas.into_iter().find(|ids| ids.contains(&me.id));
+    let local = local.unwrap_or_default();
+    let (poolers, others) = poolers(group, per_area, me, local.into_iter().collect());
     Plan {
         holders,
         is_holder: poolers.contains(&&me.id),
@@ -89,27 +92,28 @@
     }
 }
 
-/// The carriers among the proxies of a data centre, in the order in which `me` asks them, and
-/// the others in the order in which they stand in.
+/// The poolers among `local`, in the order in which `me` tries them, and the other proxies in
+/// the order in which they replace a pooler.
 ///
-/// The proxies are divided into `each` parts by a hash, and the first one of each part
-/// carries. A borrower begins with the part that another hash picks: borrowers spread over
-/// the carriers, and if one goes, those that go through the others stay with them.
+/// A hash divides the proxies into `buckets` buckets, and the highest-ranked one of each
+/// bucket is a pooler. A client starts at the bucket that another hash selects. So clients
+/// spread over the poolers, and when one stops, the clients of the others stay with them.
 fn poolers<'a>(
     group: &GroupId,
-    each: u32,
+    buckets: u32,
     me: &Proxy,
-    mut here: Vec<&'a ProxyId>,
+    mut local: Vec<&'a ProxyId>,
 ) -> (Vec<&'a ProxyId>, Vec<&'a ProxyId>) {
-    rank::sort(group.as_str(), &mut here);
-    let part = |of, id: &ProxyId| hash::of([of, group.as_str(), id.as_str()]) % u64::from(each);
-    let mut taken = IndexSet::new();
-    let all = here.len() <= each as usize;
-    let carries = |id: &&ProxyId| taken.insert(part(CARRIER, id)) || all;
-    let (mut poolers, others): (Vec<_>, Vec<_>) = here.into_iter().partition(carries);
-    poolers.sort_by_key(|id| part(CARRIER, id));
-    let picked = part(BORROWER, &me.id);
-    let first = poolers.partition_point(|id| part(CARRIER, id) < picked);
+    rank::sort(group.as_str(), &mut local);
+    let bucket =
+        |of, id: &ProxyId| hash::of([of, group.as_str(), id.as_str()]) % u64::from(buckets);
+    let mut seen = IndexSet::new();
+    let all = local.len() <= buckets as usize;
+    let is_pooler = |id: &&ProxyId| seen.insert(bucket(POOLER, id)) || all;
+    let (mut poolers, others): (Vec<_>, Vec<_>) = local.into_iter().partition(is_pooler);
+    poolers.sort_by_key(|id| bucket(POOLER, id));
+    let start = bucket(CLIENT_PROXY, &me.id);
+    let first = poolers.partition_point(|id| bucket(POOLER, id) < start);
     poolers.rotate_left(first);
     (poolers, others)
 }
--- a/crates/policy/src/pooler_retry.rs
+++ b/crates/policy/src/pooler_retry.rs
@@ -1,77 +1,78 @@
-//! What a proxy does for a statement when the carriers of its data centre lend nothing.
+//! What a proxy does for a statement when the poolers of its data centre grant no connection.
 //!
-//! Load: hundreds of proxies restart at once before instances that accept fewer connections
-//! than there are proxies. For some hundred milliseconds carriers run that do not know the
-//! group yet. Harm when a borrower then opens a connection of its own: all of them do so at
-//! once, the instances reset thousands, and the carriers themselves find no free one. A
-//! connection of one's own is therefore left for when no proxy of the data centre answers.
+//! Under load, hundreds of proxies restart at once, and their instances accept fewer
+//! connections than there are proxies. For some hundred milliseconds poolers run that do not
+//! know the group yet. If client proxies then opened connections of their own, all would do
+//! so at once, the instances would reset thousands of them, and the poolers themselves would
+//! find no free connection. So a proxy uses its own pool only if no proxy of the data centre
+//! responds.
 
 use model::unit::Span;
 
-/// Carriers that answer whom one statement asks before it waits.
-const ANSWERS: u32 = 3;
+/// Responses from poolers that granted nothing after which a statement waits.
+const MAX_RESPONSES: u32 = 3;
 
-/// Carriers that one statement asks at most, those without an answer included: each takes
-/// some of its time.
-const ASKED: u32 = 6;
+/// Most poolers that one statement tries in a row, the unresponsive ones included: each one
+/// takes part of the statement's time.
+const MAX_ATTEMPTS: u32 = 6;
 
-/// Pause before the carriers are asked again. One that starts knows its groups within some
+/// Delay before the poolers are tried again. A starting pooler knows its groups within some
 /// hundred milliseconds.
-const PAUSE: Span = Span::from_millis(40);
+const RETRY_DELAY: Span = Span::from_millis(40);
 
-/// Why a carrier lent nothing, where another one may.
+/// Why a pooler granted no connection, where another one may.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GrantFailure {
-    /// It did not answer.
+    /// It did not respond.
     Unresponsive,
-    /// It stops.
+    /// It is shutting down.
     Stopping,
     /// It does not know the group yet.
     Starting,
-    /// It reaches no instance that could serve the request.
+    /// It cannot reach any instance that could serve the request.
     Unreachable,
 }
 
 /// What to do next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Next {
-    /// Ask the next carrier.
+    /// Try the next pooler.
     NextPooler,
-    /// Ask the carriers again, after a pause.
+    /// Try the poolers again after this delay.
     RetryAfter(Span),
-    /// Ask proxies of other data centres.
+    /// Look for another proxy that reaches the group; see [`crate::fallback`].
     Fallback,
-    /// Use this proxy's own pool: it is cut off from those that could lend.
+    /// Use this proxy's own pool: no pooler responded, so it is partitioned from them.
     OwnPool,
 }
 
-/// One round of questions to the carriers of a data centre.
+/// The attempts of one statement to get a connection from the poolers of a data centre.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PoolerAttempts {
-    asked: u32,
-    answers: u32,
-    out_of_reach: bool,
+    tried: u32,
+    responses: u32,
+    unreachable: bool,
 }
 
 impl PoolerAttempts {
-    /// A carrier lent nothing; `more` says whether there is another one.
-    pub fn failed(&mut self, miss: GrantFailure, more: bool) -> Next {
-        self.asked += 1;
-        match miss {
+    /// Records that a pooler granted nothing; `more` is whether there is another one to try.
+    pub fn failed(&mut self, failure: GrantFailure, more: bool) -> Next {
+        self.tried += 1;
+        match failure {
             GrantFailure::Unresponsive | GrantFailure::Stopping => {}
-            GrantFailure::Starting => self.answers += 1,
+            GrantFailure::Starting => self.responses += 1,
             GrantFailure::Unreachable => {
-                self.answers += 1;
-                self.out_of_reach = true;
+                self.responses += 1;
+                self.unreachable = true;
             }
         }
-        if more && self.answers < ANSWERS && self.asked < ASKED {
+        if more && self.responses < MAX_RESPONSES && self.tried < MAX_ATTEMPTS {
             return Next::NextPooler;
         }
-        match (self.out_of_reach, self.answers) {
+        match (self.unreachable, self.responses) {
             (true, _) => Next::Fallback,
             (false, 0) => Next::OwnPool,
-            (false, _) => Next::RetryAfter(PAUSE),
+            (false, _) => Next::RetryAfter(RETRY_DELAY),
         }
     }
 }
--- a/crates/policy/tests/fallback.rs
+++ b/crates/policy/tests/fallback.rs
@@ -1,4 +1,4 @@
-//! Finding a proxy that reaches a group which this one does not.
+//! Searching a remote proxy for a group that this one cannot reach.
 
 use model::id::{GroupId, ProxyId};
 use model::unit::Time;
@@ -20,66 +20,71 @@
     Time::from_millis(ms)
 }
 
-/// A cut leaves a whole data centre on the wrong side of the new primary. The first round
-/// reaches another data centre, whatever the number of proxies beside this one.
+/// A partition separates a whole data centre from the new primary. The first search includes
+/// other data centres, however many other proxies this
+/// one has.
 #[test]
-fn each_data_centre_is_among_the_first() {
+fn each_data_centre_is_among_the_first_candidates() {
     let group: GroupId = "g".parse().unwrap();
     let live: Vec<_> = (0..4)
         .map(|n| proxy(&format!("a{n}"), "a"))
         .chain((0..4).map(|n| proxy(&format!("b{n}"), "b")))
         .chain((0..4).map(|n| proxy(&format!("c{n}"), "c")))
         .collect();
-    let peers = fallback::candidates(&group, &live[0], &live);
-    assert_eq!(peers.len(), 11);
-    let centres: Vec<_> = peers.iter().take(3).map(|p| &p.as_str()[..1]).collect();
+    let candidates = fallback::candidates(&group, &live[0], &live);
+    assert_eq!(candidates.len(), 11);
+    let centres: Vec<_> = candidates
+        .iter()
+        .take(3)
+        .map(|p| &p.as_str()[..1])
+        .collect();
     assert_eq!(centres, ["a", "b", "c"]);
-    assert!(!peers.contains(&live[0].id));
+    assert!(!candidates.contains(&live[0].id));
 }
 
-/// Hundreds of statements find their group out of reach at once. One of them searches, and
-/// the others wait; each round asks proxies that were not asked before.
+/// A group becomes unreachable for hundreds of statements at once. One of them searches, and
+/// the others wait. Each search queries proxies that were not queried before.
 #[test]
 fn one_statement_searches_for_all() {
-    let peers = ids(&["p1", "p2", "p3", "p4", "p5"]);
-    let mut detour = Fallback::default();
+    let candidates = ids(&["p1", "p2", "p3", "p4", "p5"]);
+    let mut search = Fallback::default();
     assert_eq!(
-        detour.choose(&peers, at(1_000)),
+        search.choose(&candidates, at(1_000)),
         FallbackChoice::Search(ids(&["p1", "p2", "p3"]))
     );
-    assert_eq!(detour.choose(&peers, at(1_010)), FallbackChoice::None);
+    assert_eq!(search.choose(&candidates, at(1_010)), FallbackChoice::None);
     assert_eq!(
-        detour.choose(&peers, at(1_200)),
+        search.choose(&candidates, at(1_200)),
         FallbackChoice::Search(ids(&["p4", "p5", "p1"]))
     );
 }
 
-/// The proxy that served one statement serves the next ones, until it cannot any more.
+/// The proxy that served one statement serves the next ones until it no longer can.
 #[test]
-fn a_way_that_was_found_is_used_until_it_is_lost() {
-    let peers = ids(&["p1", "p2"]);
-    let mut detour = Fallback::default();
-    detour.choose(&peers, at(1_000));
-    assert!(detour.found(&peers[1]));
-    assert!(!detour.found(&peers[1]));
+fn a_fallback_is_used_until_it_is_lost() {
+    let candidates = ids(&["p1", "p2"]);
+    let mut search = Fallback::default();
+    search.choose(&candidates, at(1_000));
+    assert!(search.found(&candidates[1]));
+    assert!(!search.found(&candidates[1]));
     assert_eq!(
-        detour.choose(&peers, at(1_010)),
-        FallbackChoice::Known(peers[1].clone())
+        search.choose(&candidates, at(1_010)),
+        FallbackChoice::Known(candidates[1].clone())
     );
-    detour.lost(&peers[0]);
+    search.lost(&candidates[0]);
     assert_eq!(
-        detour.choose(&peers, at(1_020)),
-        FallbackChoice::Known(peers[1].clone())
+        search.choose(&candidates, at(1_020)),
+        FallbackChoice::Known(candidates[1].clone())
     );
-    detour.lost(&peers[1]);
+    search.lost(&candidates[1]);
     assert_eq!(
-        detour.choose(&peers, at(1_200)),
+        search.choose(&candidates, at(1_200)),
         FallbackChoice::Search(ids(&["p1", "p2"]))
     );
 }
 
 #[test]
-fn without_other_proxies_there_is_no_way() {
+fn without_other_proxies_there_is_no_fallback() {
     assert_eq!(
         Fallback::default().choose(&[], at(1_000)),
         FallbackChoice::None
--- a/crates/policy/tests/pooler_retry.rs
+++ b/crates/policy/tests/pooler_retry.rs
@@ -1,93 +1,104 @@
-//! What borrowers do while the carriers of their data centre restart or are gone.
+//! What client proxies do while the poolers of their data centre restart or are down.
 
 use model::unit::Span;
 use policy::pooler_retry::{GrantFailure, Next, PoolerAttempts};
 use test_case::test_case;
 
-/// Plays one round; gives how it ends, and how many carriers were asked.
-fn round(misses: &[GrantFailure]) -> (Next, usize) {
-    let mut round = PoolerAttempts::default();
-    for (at, miss) in misses.iter().enumerate() {
-        let next = round.failed(*miss, at + 1 < misses.len());
+/// Runs the attempts of one statement; returns the last step and the number of poolers tried.
+fn run_attempts(failures: &[GrantFailure]) -> (Next, usize) {
+    let mut attempts = PoolerAttempts::default();
+    for (index, failure) in failures.iter().enumerate() {
+        let next = attempts.failed(*failure, index + 1 < failures.len());
         if next != Next::NextPooler {
-            return (next, at + 1);
+            return (next, index + 1);
         }
     }
-    unreachable!("the last carrier ends a round")
+    unreachable!("the attempts end with the last pooler")
 }
 
-/// Guards against a restart of all after which every proxy opens connections to every
-/// instance: carriers that start are asked again.
+/// Guards against a restart of all proxies after which each opens connections to every
+/// instance: starting poolers are tried again.
 #[test_case(&[GrantFailure::Starting; 4])]
-#[test_case(&[GrantFailure::Unresponsive, GrantFailure::Starting, GrantFailure::Unresponsive, GrantFailure::Unresponsive])]
+#[test_case(&[
+    GrantFailure::Unresponsive,
+    GrantFailure::Starting,
+    GrantFailure::Unresponsive,
+    GrantFailure::Unresponsive
+])]
 #[test_case(&[GrantFailure::Stopping, GrantFailure::Starting, GrantFailure::Starting])]
-fn carriers_that_start_are_asked_again(misses: &[GrantFailure]) {
-    assert!(matches!(round(misses).0, Next::RetryAfter(_)));
+fn starting_poolers_are_tried_again(failures: &[GrantFailure]) {
+    assert!(matches!(run_attempts(failures).0, Next::RetryAfter(_)));
 }
 
-/// Guards against callers who wait while the carriers of their data centre are gone: those
-/// behind them stand in, and without any the proxy serves by itself.
+/// Guards against callers that wait while the poolers of their data centre are down: the next
+/// proxies replace them, and if none responds, the proxy uses its own pool.
 #[test]
-fn proxies_stand_in_for_carriers_that_are_gone() {
-    let gone = [GrantFailure::Unresponsive; 4];
-    let stand_in = [gone.as_slice(), &[GrantFailure::Starting; 3]].concat();
-    assert_eq!(round(&stand_in).1, 6);
-    assert_eq!(round(&gone).0, Next::OwnPool);
-    assert_eq!(round(&[GrantFailure::Unresponsive; 33]), (Next::OwnPool, 6));
+fn other_proxies_replace_unresponsive_poolers() {
+    let down = [GrantFailure::Unresponsive; 4];
+    let replaced = [down.as_slice(), &[GrantFailure::Starting; 3]].concat();
+    assert_eq!(run_attempts(&replaced).1, 6);
+    assert_eq!(run_attempts(&down).0, Next::OwnPool);
+    assert_eq!(
+        run_attempts(&[GrantFailure::Unresponsive; 33]),
+        (Next::OwnPool, 6)
+    );
 }
 
-/// Guards against a data centre whose carriers all lost a group that others reach.
+/// Guards against a data centre whose poolers cannot reach a group that other proxies reach.
 #[test]
-fn a_group_out_of_reach_of_the_carriers_is_asked_for_elsewhere() {
-    let misses = [
+fn a_group_unreachable_for_the_poolers_uses_the_fallback() {
+    let failures = [
         GrantFailure::Starting,
         GrantFailure::Unreachable,
         GrantFailure::Starting,
     ];
-    assert_eq!(round(&misses), (Next::Fallback, 3));
+    assert_eq!(run_attempts(&failures), (Next::Fallback, 3));
 }
 
-/// When each of 33 proxies of a data centre runs again and when it knows its groups, and the
-/// connections of their own that the other proxies open for a statement each.
-///
-/// Guards against the same restart as a whole: an instance with 108 connections before 195
-/// proxies, each of which has a statement as soon as it runs.
+/// Simulates the same restart as a whole: an instance with 108 connections, 195 proxies, and a
+/// statement on each proxy as soon as it runs. The 33 proxies of a data centre run again at
+/// different times and know their groups some time later. Counts the statements for which
+/// client proxies open connections of their own.
 #[test]
-fn a_restart_of_all_opens_no_connections_but_the_carriers() {
-    const RUNS: u64 = 300;
-    const LEARNS: u64 = 600;
-    let state = |carrier: u64, now: u64| {
-        let runs = carrier * 17 % RUNS;
+fn after_a_restart_only_poolers_open_connections() {
+    const RUNNING_WITHIN_MS: u64 = 300;
+    const GROUPS_KNOWN_AFTER_MS: u64 = 600;
+    let state = |pooler: u64, now: u64| {
+        let running_at = pooler * 17 % RUNNING_WITHIN_MS;
         match now {
-            _ if now < runs => Some(GrantFailure::Unresponsive),
-            _ if now < runs + LEARNS => Some(GrantFailure::Starting),
+            _ if now < running_at => Some(GrantFailure::Unresponsive),
+            _ if now < running_at + GROUPS_KNOWN_AFTER_MS => Some(GrantFailure::Starting),
             _ => None,
         }
     };
-    let mut own = 0;
-    for borrower in 4..33_u64 {
-        let mut now = borrower * 17 % RUNS;
+    let mut own_pools = 0;
+    for client in 4..33_u64 {
+        let mut now = client * 17 % RUNNING_WITHIN_MS;
         'statement: loop {
-            let mut round = PoolerAttempts::default();
-            for carrier in (0..33).filter(|c| *c != borrower) {
-                let Some(miss) = state(carrier, now) else {
+            let mut attempts = PoolerAttempts::default();
+            for pooler in (0..33).filter(|c| *c != client) {
+                let Some(failure) = state(pooler, now) else {
                     break 'statement;
                 };
-                match round.failed(miss, carrier < 32) {
+                match attempts.failed(failure, pooler < 32) {
                     Next::NextPooler => {}
                     Next::RetryAfter(pause) => {
                         now += pause.as_millis();
                         break;
                     }
                     Next::OwnPool => {
-                        own += 1;
+                        own_pools += 1;
                         break 'statement;
                     }
-                    Next::Fallback => unreachable!("all reach the group"),
+                    Next::Fallback => unreachable!("all poolers reach the group"),
                 }
             }
-            assert!(now < RUNS + LEARNS + Span::from_millis(100).as_millis());
+            assert!(
+                now < RUNNING_WITHIN_MS
+                    + GROUPS_KNOWN_AFTER_MS
+                    + Span::from_millis(100).as_millis()
+            );
         }
     }
-    assert_eq!(own, 0);
+    assert_eq!(own_pools, 0);
 }
