--- a/crates/policy/src/config_mirror.rs
+++ b/crates/policy/src/config_mirror.rs
@@ -1,10 +1,10 @@
-//! Adoption of the configuration and of other records that the store holds.
+//! Local mirror of the store's records, with the configuration in force.
 //!
 //! Every proxy keeps the newest known value of each key under the fleet's prefix, and the
-//! revision up to which it has missed nothing. Values come from a watch on the store or
-//! from peers, in any order, late or twice; a value is taken only if its revision is
-//! higher than the known one, so nothing ever goes back. A proxy that starts while the
-//! store is down takes the records of a peer.
+//! revision up to which it has missed no change. Values arrive from a watch on the store or
+//! from peers, in any order, late or twice. A value is accepted only if its revision is
+//! higher than the known one, so no record ever reverts. A proxy that starts while the store
+//! is down takes the records of a peer.
 
 use std::sync::Arc;
 
@@ -13,9 +13,9 @@
 use model::document::{self, Decoder, DocumentError};
 use model::position::Revision;
 
-/// Most bytes of values in one [`Delta`]. Load: a starting proxy takes megabytes. Harm:
-/// one long answer would hold up heartbeats on the same connection and count as silence;
-/// at a cross-region share of 400 KB/s this takes under a second.
+/// Most bytes of values in one [`Delta`], beyond which it is split. A starting proxy fetches
+/// megabytes. One long response would delay heartbeats on the same connection, and the sender
+/// would seem unresponsive. At a cross-region share of 400 KB/s this much takes under a second.
 pub const DELTA_BYTES: usize = 256 << 10;
 
 /// The value of a key.
@@ -23,7 +23,7 @@
 pub struct Record {
     /// The key.
     pub key: String,
-    /// The value; every value of the fleet is text.
+    /// The value; all values of the fleet are text.
     pub value: Arc<str>,
     /// The store's revision that wrote the value.
     pub revision: Revision,
@@ -33,13 +33,13 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(default)]
 pub struct Delta {
-    /// Revision after which the changes are told.
+    /// Revision after which the changes were requested.
     pub after: Revision,
     /// Changed records, by ascending revision.
     pub records: Vec<Record>,
-    /// Every change up to this revision is among the records.
+    /// Every change after `after` and up to this revision is among the records.
     pub complete: Revision,
-    /// Whether the sender knows more than fits.
+    /// Whether the sender has further records that did not fit.
     pub more: bool,
 }
 
@@ -52,23 +52,23 @@
     pub fleet: Arc<Fleet>,
 }
 
-/// Why a newer configuration was not adopted.
+/// Why a newer configuration was rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Rejection {
-    /// It cannot be read, e.g. because a newer version of the software wrote it.
+    /// It cannot be decoded, e.g. because a newer version of the software wrote it.
     #[error("unreadable: {0}")]
     Unreadable(String),
-    /// Its checks fail.
+    /// It fails the checks.
     #[error("{} finding(s), the first: {}", .0.len(), .0[0])]
     Findings(Vec<Finding>),
 }
 
-/// What followed from new records.
+/// The effect of new records.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// Another configuration is in force.
+    /// A newer configuration is in force.
     Applied(Snapshot),
-    /// A newer configuration was refused; the last good one stays in force.
+    /// A newer configuration was rejected; the last valid one stays in force.
     Rejected(Revision, Rejection),
     /// A record other than the configuration changed.
     Record(Record),
@@ -76,8 +76,7 @@
 
 /// The records of the fleet and the configuration in force.
 ///
-/// Invariants: a record's revision never falls; `complete` never falls; the revision in
-/// force never falls.
+/// Invariants: the revision of a record, `complete`, and the revision in force never decrease.
 #[derive(Clone, Debug, Default)]
 pub struct ConfigMirror {
     records: IndexMap<String, Record>,
@@ -93,12 +92,12 @@
         self.current.as_ref()
     }
 
-    /// The newest configuration that was refused, if none was adopted since.
+    /// The last configuration that was rejected, unless another one was applied since.
     pub fn rejected(&self) -> Option<&(Revision, Rejection)> {
         self.rejected.as_ref()
     }
 
-    /// The revision up to which no change was missed.
+    /// The revision up to which no change is missing.
     pub fn complete(&self) -> Revision {
         self.complete
     }
@@ -108,42 +107,43 @@
         self.records.get(key)
     }
 
-    /// Takes in changes from the store or from a peer.
+    /// Merges changes from the store or from a peer.
     pub fn merge(&mut self, delta: Delta) -> Vec<Change> {
         let mut changes = Vec::new();
         for record in delta.records {
-            if let Some(change) = self.take(record) {
+            if let Some(change) = self.insert_if_newer(record) {
                 changes.push(change);
             }
         }
-        // A gap before the delta may hide changes; its records count, its end does not.
+        // With a gap before the delta, changes may be missing: its records are valid, but
+        // `complete` must not advance.
         if delta.after <= self.complete {
             self.complete = self.complete.max(delta.complete);
         }
-        changes.extend(self.adopt());
+        changes.extend(self.apply_head());
         changes
     }
 
-    fn take(&mut self, record: Record) -> Option<Change> {
+    fn insert_if_newer(&mut self, record: Record) -> Option<Change> {
         let known = self.records.get(&record.key).map(|r| r.revision);
         if known.is_some_and(|known| known >= record.revision) {
             return None;
         }
         self.records.insert(record.key.clone(), record.clone());
-        let ours = record.key == document::HEAD || record.key.starts_with(document::PARTS);
-        (!ours).then_some(Change::Record(record))
+        let is_config = record.key == document::HEAD || record.key.starts_with(document::PARTS);
+        (!is_config).then_some(Change::Record(record))
     }
 
-    fn adopt(&mut self) -> Option<Change> {
+    fn apply_head(&mut self) -> Option<Change> {
         let head = self.records.get(document::HEAD)?.clone();
         let current = self.current.as_ref().map(|c| c.revision);
         let rejected = self.rejected.as_ref().map(|(revision, _)| *revision);
         if current.max(rejected) >= Some(head.revision) {
             return None;
         }
-        match self.read(&head) {
+        match self.decode(&head) {
             Ok(fleet) => Some(self.put_in_force(head.revision, fleet)),
-            // Its parts are on their way.
+            // Some of its parts have not arrived yet.
             Err(None) => None,
             Err(Some(rejection)) => {
                 self.rejected = Some((head.revision, rejection.clone()));
@@ -152,7 +152,7 @@
         }
     }
 
-    fn read(&mut self, head: &Record) -> Result<Fleet, Option<Rejection>> {
+    fn decode(&mut self, head: &Record) -> Result<Fleet, Option<Rejection>> {
         let records = &self.records;
         let part = |key: &str| records.get(key).map(|r| r.value.as_bytes());
         let fleet = self.decoder.decode(head.value.as_bytes(), part);
@@ -177,8 +177,8 @@
         Change::Applied(snapshot)
     }
 
-    /// Drops parts that only older configurations name. Parts written since the head may
-    /// belong to the next one.
+    /// Drops parts that only older configurations reference. Parts written after the head
+    /// may belong to the next one.
     fn drop_old_parts(&mut self, head: Revision) {
         let Some(record) = self.records.get(document::HEAD) else {
             return;
@@ -193,28 +193,28 @@
         });
     }
 
-    /// What changed after `after`, as much as fits in one answer.
+    /// The changes after `after`, as many as fit in one response.
     pub fn changes_since(&self, after: Revision) -> Delta {
-        let newer = self.records.values().filter(|r| r.revision > after);
-        let mut newer: Vec<_> = newer.collect();
-        newer.sort_by_key(|r| r.revision);
-        let (mut bytes, mut fit) = (0, newer.len());
-        for (at, record) in newer.iter().enumerate() {
-            // One revision is never split: what was written together arrives together.
-            let begins = at > 0 && newer[at - 1].revision < record.revision;
-            if begins && bytes >= DELTA_BYTES {
-                fit = at;
+        let changed = self.records.values().filter(|r| r.revision > after);
+        let mut changed: Vec<_> = changed.collect();
+        changed.sort_by_key(|r| r.revision);
+        let (mut bytes, mut fitting) = (0, changed.len());
+        for (index, record) in changed.iter().enumerate() {
+            // A revision is never split: records written together arrive together.
+            let new_revision = index > 0 && changed[index - 1].revision < record.revision;
+            if new_revision && bytes >= DELTA_BYTES {
+                fitting = index;
                 break;
             }
             bytes += record.value.len();
         }
-        let more = fit < newer.len();
+        let more = fitting < changed.len();
         let complete = if more {
-            newer[fit - 1].revision.min(self.complete)
+            changed[fitting - 1].revision.min(self.complete)
         } else {
             self.complete
         };
-        let records = newer[..fit].iter().map(|r| (*r).clone()).collect();
+        let records = changed[..fitting].iter().map(|r| (*r).clone()).collect();
         Delta {
             after,
             records,
--- a/crates/policy/src/rank.rs
+++ b/crates/policy/src/rank.rs
@@ -1,4 +1,4 @@
-//! Order in which proxies step in for a group: rendezvous hashing over the live ones.
+//! Ranking of the live proxies for a group or another key, by rendezvous hashing.
 
 use std::cmp::Reverse;
 
@@ -7,23 +7,24 @@
 
 use crate::message::Peer;
 
-/// Sorts proxies by their rank for a key; all that know the same proxies sort them alike.
+/// Sorts proxies by their rank for a key, the first one first; every proxy computes the same
+/// order from the same list.
 pub fn sort(key: &str, ids: &mut [&ProxyId]) {
     ids.sort_by_cached_key(|id| Reverse(hash::of([key, id.as_str()])));
 }
 
-/// How many live proxies go before `me`.
+/// Number of live proxies that rank before `me` for a group.
 ///
-/// Proxies in the primary's data centre go last: when the primary is lost together with
-/// its data centre, they are lost too, and each dead one would cost a turn. The order only
-/// keeps contention low; the compare-and-swap of the claim keeps two from both leading.
+/// Proxies in the data centre `lost` rank last: a primary is often lost together with its data
+/// centre, and each failed proxy before `me` would delay it by a turn. The ranking only keeps
+/// contention low; the compare-and-swap of the claim keeps two proxies from both leading.
 pub fn rank(group: &GroupId, me: &Peer, live: &[Peer], lost: Option<&DataCentre>) -> u64 {
     let key = |p: &Peer| {
-        let beside = lost == Some(&p.location.data_centre);
+        let in_lost_centre = lost == Some(&p.location.data_centre);
         let hash = hash::of([group.as_str(), p.id.as_str()]);
-        (beside, Reverse(hash), p.id.clone())
+        (in_lost_centre, Reverse(hash), p.id.clone())
     };
-    let mine = key(me);
-    let ahead = live.iter().filter(|p| p.id != me.id && key(p) < mine);
-    ahead.count() as u64
+    let my_key = key(me);
+    let before = live.iter().filter(|p| p.id != me.id && key(p) < my_key);
+    before.count() as u64
 }
--- a/crates/policy/src/store_reader.rs
+++ b/crates/policy/src/store_reader.rs
@@ -1,12 +1,13 @@
-//! Whom a proxy asks for what is in the store: the store itself, or a neighbour that reads it.
+//! Where a proxy reads the contents of the store: from the store itself, or from a store
+//! reader, a proxy of its data centre that reads the store for the others.
 //!
-//! Load: 34 proxies in a region without the store, and a configuration of half a megabyte.
-//! Harm when each fetches every version itself: the link between the regions is full for
-//! seconds, calls behind it time out, and primaries are doubted that live. So one proxy of
-//! each data centre reads the store and the others follow it: bytes between regions and
-//! calls of the store grow with the data centres. All that know the same live proxies
-//! come to the same reader; where they do not, or the reader and the one that stands in for
-//! it have nothing to tell, a proxy asks the store itself.
+//! Under load, 34 proxies run in a region without the store, and a configuration has half a
+//! megabyte. If each of them fetched every version itself, the link between the regions would
+//! be full for seconds, calls over it would time out, and healthy primaries would be
+//! suspected. So one proxy of each data centre reads the store and the others follow it: the
+//! bytes between regions and the calls to the store grow with the number of data centres.
+//! Proxies that know the same live proxies choose the same reader. While they differ, or if
+//! neither the reader nor its backup has updates, a proxy reads the store itself.
 
 use indexmap::IndexMap;
 use model::id::ProxyId;
@@ -14,58 +15,61 @@
 
 use crate::rank;
 
-/// What proxies are ranked for here, beside the groups.
-const RANKED_FOR: &str = "store";
+/// Key under which proxies are ranked as store readers.
+const RANK_KEY: &str = "store";
 
-/// Proxies of one data centre that others follow: the reader, and the one that stands in
-/// for it as long as the reader does not hear the store.
-const FOLLOWED: usize = 2;
+/// Proxies of one data centre that others may follow: the reader, and a backup for as long as
+/// the reader cannot read the store.
+const MAX_READERS: usize = 2;
 
-/// Proxies of a data centre up to which each reads the store itself: with few of them the
-/// link is not at stake, and news arrive a hop sooner.
-const FEW: usize = 4;
+/// Number of proxies in a data centre up to which each reads the store itself: so few do not
+/// fill the link, and updates arrive one hop sooner.
+const MAX_DIRECT: usize = 4;
 
-/// Time for which a neighbour that told nothing is passed over. The store pays for it with a
-/// few calls; a reader that lost the store finds it again within about this time.
-const PASS_OVER: Span = Span::from_millis(1_500);
+/// Time for which a reader that sent nothing is skipped. This costs the store a few calls; a
+/// reader that lost the store reaches it again within about this time.
+const SKIP_FOR: Span = Span::from_millis(1_500);
 
-/// Whom to ask.
+/// Where a proxy reads.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Upstream {
-    /// The store.
+    /// From the store.
     Store,
-    /// A proxy of this data centre that reads it.
+    /// From this proxy of its data centre, which reads the store.
     StoreReader(ProxyId),
 }
 
-/// The readers of one data centre, as one of its proxies finds them.
+/// The store readers of one data centre, as one of its proxies sees them.
 #[derive(Clone, Debug, Default)]
 pub struct StoreReaders {
-    passed_over: IndexMap<ProxyId, Time>,
+    skipped: IndexMap<ProxyId, Time>,
 }
 
 impl StoreReaders {
-    /// Whom `me` asks next; `here` are the live proxies of its data centre.
-    pub fn upstream(&self, me: &ProxyId, here: &[ProxyId], now: Time) -> Upstream {
-        if here.len() <= FEW {
+    /// Where `me` reads next; `local` are the live proxies of its data centre.
+    pub fn upstream(&self, me: &ProxyId, local: &[ProxyId], now: Time) -> Upstream {
+        if local.len() <= MAX_DIRECT {
             return Upstream::Store;
         }
-        let mut ranked: Vec<_> = here.iter().collect();
-        rank::sort(RANKED_FOR, &mut ranked);
-        let mut before_me = ranked.into_iter().take(FOLLOWED).take_while(|id| *id != me);
-        let open = |id: &&ProxyId| self.passed_over.get(*id).is_none_or(|until| *until <= now);
-        let reader = before_me.find(open);
+        let mut ranked: Vec<_> = local.iter().collect();
+        rank::sort(RANK_KEY, &mut ranked);
+        let mut candidates = ranked
+            .into_iter()
+            .take(MAX_READERS)
+            .take_while(|id| *id != me);
+        let available = |id: &&ProxyId| self.skipped.get(*id).is_none_or(|until| *until <= now);
+        let reader = candidates.find(available);
         reader.map_or(Upstream::Store, |id| Upstream::StoreReader(id.clone()))
     }
 
-    /// A reader told nothing: it does not answer, or has lost the store.
+    /// Records that a reader sent nothing: it is unresponsive, or has lost the store.
     pub fn mark_failed(&mut self, reader: &ProxyId, now: Time) {
-        self.passed_over.retain(|_, until| *until > now);
-        self.passed_over.insert(reader.clone(), now + PASS_OVER);
+        self.skipped.retain(|_, until| *until > now);
+        self.skipped.insert(reader.clone(), now + SKIP_FOR);
     }
 }
 
-/// How many proxies read the store in a data centre with so many live ones.
-pub fn readers(here: usize) -> usize {
-    if here <= FEW { here } else { 1 }
+/// How many proxies read the store in a data centre with `local` live ones.
+pub fn readers(local: usize) -> usize {
+    if local <= MAX_DIRECT { local } else { 1 }
 }
--- a/crates/policy/src/store_watch.rs
+++ b/crates/policy/src/store_watch.rs
@@ -1,63 +1,64 @@
-//! How a proxy follows the store: how long a watch waits, how long changes are gathered,
-//! and when a call that failed is made again.
+//! Pacing of a proxy's watch on the store: how long a watch call waits for changes, how long
+//! changes are batched, and when a failed call is retried.
 
 use model::unit::Span;
 use rand::Rng;
 
-/// Part of the time in which a change must be in force that one watch may wait.
+/// Divisor of the time in which a change must be in force: the longest wait of one watch.
 ///
-/// Failure: a watch that was opened while the store lost track of it hears nothing until
-/// its wait is over. The next one then tells what was missed, so the wait, the time limit
-/// on top of it and the pause before it have to fit into the whole.
-const WAIT_PART: u64 = 2;
+/// Failure: the store loses track of a watch, which then returns nothing until its wait is
+/// over. The next watch returns the missed changes. So the wait, the time limit on top of
+/// it and the delay before it together must fit into the time in which a change must be in
+/// force.
+const WAIT_DIVISOR: u64 = 2;
 
-/// Shortest and longest wait of a watch that nothing disturbs. Each watch is one of the
-/// calls that the operators pay for.
-const WAITS: (Span, Span) = (Span::from_millis(1_500), Span::from_millis(8_000));
+/// Shortest and longest wait of a watch in normal operation. The operators pay for each call,
+/// and each watch is one.
+const WAIT_RANGE: (Span, Span) = (Span::from_millis(1_500), Span::from_millis(8_000));
 
-/// Wait of the first watch after a failure; it doubles from watch to watch.
+/// Wait of the first watch after a failure; it doubles with each further watch.
 ///
-/// Failure: the store cuts all watches, drops its history, and a new one that comes in
-/// between is never told that its revision is gone. Half of a region heard of a change
-/// six seconds late. A short watch finds out soon.
+/// Failure: the store closes all watches and then drops its history. A watch opened in
+/// between is never notified that its revision is gone. Half of a region received a change
+/// six seconds late. A short watch detects this soon.
 const WAIT_AFTER_FAILURE: Span = Span::from_millis(200);
 
-/// First and longest pause before a failed call is made again; half of it is random.
-/// Load: all proxies lose the store at once. Harm without it: they come back together,
-/// and what was too much the first time is too much again.
-const PAUSES: (Span, Span) = (Span::from_millis(50), Span::from_millis(400));
+/// First and longest delay before a failed call is retried; half of it is random. When all
+/// proxies lose the store at once, they would otherwise all retry together and overload it
+/// again.
+const RETRY_DELAYS: (Span, Span) = (Span::from_millis(50), Span::from_millis(400));
 
-/// Pause after a change before the next one is asked for, for each proxy that reads the
-/// store.
+/// Delay after a change before the next watch, per proxy that reads the store.
 ///
-/// Load: all proxies write when they start. Harm without it: each write wakes all readers,
-/// which at 91 readers was 33,000 calls in 48 s. The pause gathers the changes of that time.
-const GATHER: Span = Span::from_millis(32);
+/// Under load, all proxies write when they start. Without the delay, each write would wake
+/// all readers; with 91 readers these were 33,000 calls in 48 s. Changes that arrive during
+/// the delay are read together.
+const BATCH_DELAY_PER_READER: Span = Span::from_millis(32);
 
-/// Part of the time in which a change must be in force that the pause may take.
-const GATHER_PART: u64 = 4;
+/// Divisor of the time in which a change must be in force: the longest batch delay.
+const BATCH_DELAY_DIVISOR: u64 = 4;
 
-/// The pause of the proxy that coordinates, which doubts are to reach at once, and of those
-/// that follow a neighbour, which has gathered already.
-const SHORT_GATHER: Span = Span::from_millis(20);
+/// Batch delay of the coordinator, which must receive suspicions at once, and of proxies that
+/// follow a store reader, which has batched the changes already.
+const SHORT_BATCH_DELAY: Span = Span::from_millis(20);
 
-/// The following of one store by one proxy.
+/// Pacing of one proxy's calls to the store.
 #[derive(Clone, Debug)]
 pub struct WatchPacing {
     in_force_within: Span,
-    /// Wait of the next watch; below the full one after a failure.
+    /// Wait of the next watch; shorter than usual after a failure.
     wait: Span,
-    /// Pause before the next try, were it to fail.
-    pause: Span,
+    /// Delay before the retry if the next call fails.
+    retry_delay: Span,
 }
 
 impl WatchPacing {
-    /// A proxy that starts; changes must be in force within `in_force_within`.
+    /// The pacing after a start; changes must be in force within `in_force_within`.
     pub fn new(in_force_within: Span) -> Self {
         Self {
             in_force_within,
             wait: full_wait(in_force_within),
-            pause: PAUSES.0,
+            retry_delay: RETRY_DELAYS.0,
         }
     }
 
@@ -66,37 +67,37 @@
         self.wait
     }
 
-    /// A call was answered.
+    /// Records that a call succeeded.
     pub fn succeeded(&mut self) {
-        self.pause = PAUSES.0;
+        self.retry_delay = RETRY_DELAYS.0;
         self.wait = self.wait.times(2).min(full_wait(self.in_force_within));
     }
 
-    /// A call failed; gives the pause before the next one.
+    /// Records that a call failed; returns the delay before the next one.
     pub fn failed(&mut self, rng: &mut impl Rng) -> Span {
         self.wait = WAIT_AFTER_FAILURE;
-        let pause = self.pause;
-        self.pause = pause.times(2).min(PAUSES.1);
-        let us = pause.as_micros();
+        let retry_delay = self.retry_delay;
+        self.retry_delay = retry_delay.times(2).min(RETRY_DELAYS.1);
+        let us = retry_delay.as_micros();
         Span::from_micros(rng.random_range(us / 2..=us))
     }
 
-    /// How long changes are gathered after one was heard, where `readers` proxies read the
-    /// store; `at_once` for one that costs the store little.
-    pub fn batch_delay(&self, readers: u32, at_once: bool) -> Span {
-        if at_once {
-            return SHORT_GATHER;
+    /// How long changes are batched after one was received. `readers` proxies read the store;
+    /// `urgent` is for a proxy whose calls cost the store little.
+    pub fn batch_delay(&self, readers: u32, urgent: bool) -> Span {
+        if urgent {
+            return SHORT_BATCH_DELAY;
         }
-        GATHER
+        BATCH_DELAY_PER_READER
             .times(u64::from(readers))
-            .min(part(self.in_force_within, GATHER_PART))
+            .min(divide(self.in_force_within, BATCH_DELAY_DIVISOR))
     }
 }
 
 fn full_wait(in_force_within: Span) -> Span {
-    part(in_force_within, WAIT_PART).clamp(WAITS.0, WAITS.1)
+    divide(in_force_within, WAIT_DIVISOR).clamp(WAIT_RANGE.0, WAIT_RANGE.1)
 }
 
-fn part(whole: Span, parts: u64) -> Span {
-    Span::from_micros(whole.as_micros() / parts)
+fn divide(span: Span, divisor: u64) -> Span {
+    Span::from_micros(span.as_micros() / divisor)
 }
--- a/crates/policy/tests/placement.rs
+++ b/crates/policy/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Which proxies serve a group, judged by spread, movement and reach.
+//! Which proxies serve a group: distribution, stability and distance.
 
 use indexmap::{IndexMap, IndexSet};
 use model::id::GroupId;
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn today_every_proxy_serves_every_group() {
+fn with_nine_proxies_each_serves_every_group() {
     let live = fleet(3, 3);
     for me in &live {
         let route = placement::route(&group(1), &homes(&[0, 1, 2]), me, &live);
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_group_has_the_same_servers_whoever_asks() {
+fn all_proxies_agree_who_serves_a_group() {
     let live = fleet(6, 20);
     let homes = homes(&[0, 2, 3]);
     let mut shuffled = live.clone();
@@ -62,25 +62,25 @@
 }
 
 #[test]
-fn passed_on_to_the_nearest_server_first() {
+fn forwards_to_the_nearest_serving_proxy_first() {
     let live = fleet(6, 20);
     let me = proxy(1, 19);
     let Route::Via(servers) = placement::route(&group(7), &homes(&[0, 4]), &me, &live) else {
         panic!("a proxy outside the group's data centres serves it");
     };
-    let near = servers.iter().map(|p| me.location.distance(&p.location));
-    assert!(near.is_sorted());
+    let distances = servers.iter().map(|p| me.location.distance(&p.location));
+    assert!(distances.is_sorted());
     assert_eq!(
         servers[0].location.data_centre,
         proxy(0, 0).location.data_centre
     );
 }
 
-// A user connects through a proxy whose data centre is cut off from the group's. No
-// server of the group is alive as far as this proxy knows; refusing would leave the user
-// without even the reads that a replica on this side could answer.
+// A user connects through a proxy whose data centre is partitioned from the group's. This
+// proxy knows of no live serving proxy. If it rejected the connection, even reads that a
+// replica on this side could serve would fail.
 #[test]
-fn served_here_when_no_server_is_known_alive() {
+fn served_locally_without_a_live_serving_proxy() {
     let me = proxy(5, 0);
     let live = [me.clone()];
     assert_eq!(
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn groups_spread_evenly_over_the_proxies_of_a_data_centre() {
+fn groups_are_distributed_evenly_over_a_data_centre() {
     let live = fleet(1, 90);
     let mut load: IndexMap<_, usize> = IndexMap::new();
     for n in 0..3_000 {
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn a_proxy_that_leaves_moves_only_its_own_groups() {
+fn a_proxy_that_stops_moves_only_its_own_groups() {
     let before = fleet(1, 30);
     let after = &before[1..];
     for n in 0..500 {
