--- a/crates/policy/src/share.rs
+++ b/crates/policy/src/share.rs
@@ -1,21 +1,21 @@
 //! Shares of a backend server's connections among the proxies.
 //!
-//! Each proxy may always hold a floor. The rest forms a pool, which one proxy, the
-//! lender, lends on demand for a limited time. Proxies may disagree on who the lender
-//! is, so its authority comes from the platform's store: a key that it holds under a
-//! lease. With the store out of reach the authority ends, loans lapse, and the floors
+//! Each proxy may always hold a floor of connections. The others form a pool, which one
+//! proxy, the lender, lends on demand for a limited time. Proxies may disagree on who the
+//! lender is, so its authority comes from the platform's store: a key that it holds under a
+//! lease. While the store is unreachable, the authority ends, loans expire, and the floors
 //! remain.
 //!
-//! Clocks of different processes are never compared. Every promise is counted by its
-//! maker from a later moment than by its receiver:
+//! Clocks of different processes are never compared. Whoever grants a lease or a loan counts
+//! its time from a later moment than whoever receives it:
 //!
-//! - the store counts the lease from when it heard the renewal; the lender from when
-//!   it sent it;
-//! - a loan counts at the lender from when it answered, and at the borrower from when
-//!   it sent the request.
+//! - the store counts the lease from when it received the renewal, the lender from when it
+//!   sent it;
+//! - the lender counts a loan from when it responded, the borrower from when it sent the
+//!   request.
 //!
-//! A lender that begins its reign confirms loans that borrowers hold already and
-//! lends nothing new until every loan of an earlier reign has lapsed.
+//! A lender that starts a term of authority confirms loans that borrowers already hold, and
+//! lends nothing new until every loan of earlier terms has expired.
 
 mod borrower;
 mod lender;
@@ -27,115 +27,117 @@
 use model::id::{InstanceId, ProxyId};
 use model::unit::{Span, Time};
 
-/// Part of the loan's span that a borrower does not use, as a divisor. Failure:
-/// clocks run at slightly different speeds, or a process is paused between the
-/// check and the opening of a connection; it shows as one connection too many.
-/// A tenth of a 3 s loan covers drift by far and pauses of up to 300 ms.
+/// Divisor of a loan's duration: the part at its end that the borrower does not use.
+///
+/// Failure: clocks run at slightly different speeds, or a process is paused between the
+/// check and the opening of a connection; then one connection too many is open. A tenth of
+/// a 3 s loan is far more than the drift, and covers pauses of up to 300 ms.
 const MARGIN_DIVISOR: u64 = 10;
 
-/// Part of the loan's span between two requests, as a divisor. Several lost messages
-/// in a row cost no loan.
+/// Divisor of a loan's duration: the time between two requests. Several messages in a row may
+/// be lost without losing the loan.
 const INTERVAL_DIVISOR: u64 = 6;
 
-/// What all proxies know about one backend server's connections.
+/// What all proxies know about the connections of one backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Terms {
     /// Connections that the server accepts from the whole fleet.
     pub connections: u32,
-    /// Most proxies that are ever alive at once.
+    /// Most proxies that are alive at the same time.
     pub proxies: u32,
     /// How long a loan lasts.
     pub loan: Span,
 }
 
 impl Terms {
-    /// Connections that each proxy may hold without asking.
+    /// Connections that each proxy may hold without a loan.
     ///
-    /// Half of the connections serve as floors: enough that the slots stay full
-    /// without a lender, and as much again can follow demand.
+    /// Half of the connections are floors. This is enough to keep the slots full without a
+    /// lender, and leaves as many connections to follow demand.
     pub fn floor(&self) -> u32 {
         let proxies = self.proxies.max(1);
         let half = self.connections / 2 / proxies;
         half.max(u32::from(self.connections >= proxies))
     }
 
-    /// Connections that are lent.
+    /// Connections that can be lent.
     pub fn pool(&self) -> u32 {
         self.connections - self.floor() * self.proxies.max(1)
     }
 
-    /// Time between two requests of a borrower.
+    /// Time between two loan requests of a borrower.
     pub fn interval(&self) -> Span {
         Span::from_micros(self.loan.as_micros() / INTERVAL_DIVISOR)
     }
 }
 
-/// A moment on the lender's clock; only the lender can read it.
+/// A time on the lender's clock; it has no meaning for other proxies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Stamp(Time);
 
-/// Request of a borrower to the lender.
+/// Request of a borrower to a lender.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct LoanRequest {
     /// The backend server.
     pub instance: InstanceId,
-    /// Who asks; a restarted proxy is another one.
+    /// The borrower; a proxy has another id after a restart.
     pub from: ProxyId,
-    /// Ascends with each request of one proxy.
+    /// Increases with each request of one proxy.
     pub seq: u64,
-    /// Newest stamp that the proxy got from this lender.
+    /// Newest stamp that the borrower received from this lender.
     pub stamp: Option<Stamp>,
-    /// Lent connections that the proxy would use.
+    /// Connections beyond the floor that it could use.
     pub want: u32,
-    /// Lent connections that it holds and will not exceed until answered.
+    /// Lent connections that it holds; it does not exceed them until it has a response.
     pub keep: u32,
-    /// Lent connections that it cannot close now, being in use; at most `keep`.
+    /// Lent connections in use, which it cannot close now; at most `keep`.
     pub busy: u32,
-    /// Whether it has work for this server, so that it takes part in its slots.
+    /// Whether it has work for this server and so needs a part of its slots.
     #[serde(default)]
     pub active: bool,
-    /// How long, from when this was sent, the loan behind `keep` is valid at least.
+    /// Least time, counted from sending, for which the loan of `keep` is still valid.
     pub remaining: Span,
 }
 
-/// Answer of a lender.
+/// Response of a lender.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct LoanResponse {
     /// The backend server.
     pub instance: InstanceId,
-    /// The request that is answered.
+    /// `seq` of the request.
     pub seq: u64,
-    /// To be echoed in the next request.
+    /// The borrower sends it back in its next request.
     pub stamp: Stamp,
-    /// The new loan; `None` while the lender may not lend, which changes nothing.
+    /// The new loan; with `None` the lender may not lend now, and the old loan stays.
     pub loan: Option<Loan>,
 }
 
-/// A loan, in place of the one before.
+/// A loan; it replaces the previous one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Loan {
     /// Lent connections that the borrower may hold.
     pub amount: u32,
-    /// How long, from when the request was sent.
+    /// Duration, counted from when the request was sent.
     #[serde(rename = "lasts")]
     pub duration: Span,
-    /// Whether proxies ask for more than the pool holds.
+    /// Whether the proxies together want more than the pool.
     #[serde(rename = "pressed")]
     pub oversubscribed: bool,
-    /// Connections that the proxies at work may hold together, the floors included.
+    /// Connections that the active proxies may hold together, including their floors.
     #[serde(default)]
     pub shared: u32,
 }
 
-/// Margin of the lender's authority before its lease in the store runs out, as a
-/// divisor of the lease's span. It covers clocks that run at different speeds.
+/// Divisor of the lease's duration in the store: how much earlier the lender's authority ends.
+/// The margin covers clocks that run at different speeds.
 pub const LEASE_MARGIN_DIVISOR: u64 = 10;
 
-/// The proxy that should lend for `place`: highest random weight over the live ones.
+/// The proxy that should be the lender of a data centre: the live one with the
+/// highest rendezvous hash.
 pub fn choose_lender<'a>(
-    place: &str,
+    data_centre: &str,
     live: impl IntoIterator<Item = &'a ProxyId>,
 ) -> Option<&'a ProxyId> {
-    let weight = |proxy: &&ProxyId| (hash::of([place, proxy.as_str()]), (*proxy).clone());
+    let weight = |proxy: &&ProxyId| (hash::of([data_centre, proxy.as_str()]), (*proxy).clone());
     live.into_iter().max_by_key(weight)
 }
--- a/crates/policy/src/share/borrower.rs
+++ b/crates/policy/src/share/borrower.rs
@@ -1,32 +1,32 @@
-//! The side that asks: what this proxy may hold at one backend server.
+//! The borrower: how many connections this proxy may hold to one backend server.
 
 use model::id::{InstanceId, ProxyId};
 use model::unit::{Span, Time};
 
 use super::{LoanRequest, LoanResponse, MARGIN_DIVISOR, Stamp, Terms};
 
-/// What a proxy has and wants at one backend server.
+/// What a proxy holds and wants at one backend server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Demand {
-    /// Connections that it would use, floor included.
+    /// Connections that it could use, including the floor.
     pub want: u32,
-    /// Connections that are open.
+    /// Open connections.
     pub open: u32,
-    /// Connections that are in use.
+    /// Connections in use.
     pub busy: u32,
     /// Whether there is work for this server.
     pub active: bool,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Held {
+struct HeldLoan {
     amount: u32,
     until: Time,
 }
 
-/// What this proxy may hold at one backend server.
+/// How many connections this proxy may hold to one backend server.
 ///
-/// Invariant: `held` never exceeds what some lender has recorded for this proxy.
+/// Invariant: `loan` never exceeds what some lender has recorded for this proxy.
 #[derive(Clone, Debug)]
 pub struct Borrower {
     instance: InstanceId,
@@ -34,15 +34,15 @@
     terms: Terms,
     seq: u64,
     sent: Time,
-    asked: Option<ProxyId>,
+    lender: Option<ProxyId>,
     stamp: Option<(ProxyId, Stamp)>,
-    held: Held,
+    loan: HeldLoan,
     oversubscribed: bool,
     shared: u32,
 }
 
 impl Borrower {
-    /// A proxy that has just started and holds nothing.
+    /// The borrower of a proxy that has just started and holds no loan.
     pub fn new(instance: InstanceId, me: ProxyId, terms: Terms, now: Time) -> Self {
         Self {
             instance,
@@ -50,9 +50,9 @@
             terms,
             seq: 0,
             sent: now,
-            asked: None,
+            lender: None,
             stamp: None,
-            held: Held::default(),
+            loan: HeldLoan::default(),
             oversubscribed: false,
             shared: 0,
         }
@@ -60,56 +60,56 @@
 
     /// Connections that may be open at `now`.
     pub fn allowed(&self, now: Time) -> u32 {
-        self.terms.floor() + self.lent(now)
+        self.terms.floor() + self.loan_amount(now)
     }
 
-    fn lent(&self, now: Time) -> u32 {
-        if now < self.held.until {
-            self.held.amount
+    fn loan_amount(&self, now: Time) -> u32 {
+        if now < self.loan.until {
+            self.loan.amount
         } else {
             0
         }
     }
 
-    /// When what may be open falls by itself, unless a loan is renewed before.
+    /// When the loan expires unless it is renewed before.
     pub fn expires_at(&self) -> Time {
-        self.held.until
+        self.loan.until
     }
 
-    /// Whether others want more than there is, so that idle connections are
-    /// better lent on than kept warm.
+    /// Whether the proxies want more connections than there are, so that idle ones should go
+    /// back to the pool rather than stay open.
     pub fn oversubscribed(&self) -> bool {
         self.oversubscribed
     }
 
-    /// Connections that all proxies at work may hold together, to take this proxy's
-    /// part of the slots from; without a lender, the floors of all proxies.
+    /// Connections that all active proxies may hold together, from which this proxy's part of
+    /// the slots is computed; without a loan, the floors of all proxies.
     pub fn shared(&self, now: Time) -> u32 {
         let allowed = self.allowed(now);
-        if now < self.held.until {
+        if now < self.loan.until {
             self.shared.max(allowed)
         } else {
             (self.terms.floor() * self.terms.proxies).max(allowed)
         }
     }
 
-    /// Takes over changed terms.
+    /// Applies changed terms.
     pub fn set_terms(&mut self, terms: Terms) {
         self.terms = terms;
     }
 
-    /// The next request, to be sent to `lender` now.
+    /// The next request, which must be sent to `lender` now.
     pub fn request(&mut self, lender: &ProxyId, demand: Demand, now: Time) -> LoanRequest {
         let floor = self.terms.floor();
         let want = demand.want.saturating_sub(floor);
         let open = demand.open.saturating_sub(floor);
-        let lent = self.lent(now);
-        // The promise in `keep` holds from this moment on, so the loan shrinks now.
-        let keep = want.max(open).min(lent);
-        self.held.amount = keep;
+        let loan_amount = self.loan_amount(now);
+        // The lender may rely on `keep` from now on, so the loan is reduced to it at once.
+        let keep = want.max(open).min(loan_amount);
+        self.loan.amount = keep;
         self.seq += 1;
         self.sent = now;
-        self.asked = Some(lender.clone());
+        self.lender = Some(lender.clone());
         LoanRequest {
             instance: self.instance.clone(),
             from: self.me.clone(),
@@ -119,7 +119,7 @@
             keep,
             busy: demand.busy.saturating_sub(floor).min(keep),
             active: demand.active,
-            remaining: self.held.until.since(now),
+            remaining: self.loan.until.since(now),
         }
     }
 
@@ -128,17 +128,17 @@
         (from == lender).then_some(*stamp)
     }
 
-    /// Takes an answer of `from`; older answers than to the last request are void,
-    /// because the promise in that request replaced them.
-    pub fn response_received(&mut self, from: &ProxyId, answer: &LoanResponse) {
-        if answer.seq != self.seq || self.asked.as_ref() != Some(from) {
+    /// Processes a response of `from`. Responses to earlier requests than the last one are
+    /// ignored, because `keep` in the last request superseded them.
+    pub fn response_received(&mut self, from: &ProxyId, response: &LoanResponse) {
+        if response.seq != self.seq || self.lender.as_ref() != Some(from) {
             return;
         }
-        self.stamp = Some((from.clone(), answer.stamp));
-        if let Some(loan) = answer.loan {
+        self.stamp = Some((from.clone(), response.stamp));
+        if let Some(loan) = response.loan {
             let margin = loan.duration.as_micros() / MARGIN_DIVISOR;
             let usable = Span::from_micros(loan.duration.as_micros() - margin);
-            self.held = Held {
+            self.loan = HeldLoan {
                 amount: loan.amount,
                 until: self.sent + usable,
             };
--- a/crates/policy/tests/share.rs
+++ b/crates/policy/tests/share.rs
@@ -1,5 +1,5 @@
-//! Lending a backend server's connections: never above the limit, never below the
-//! floor, whatever is lost, late, doubled, paused, restarted or cut off.
+//! Lending a backend server's connections: never above the limit and never below the floor,
+//! with messages lost, delayed or duplicated, and proxies paused, restarted or partitioned.
 
 mod world;
 
@@ -10,23 +10,23 @@
 use test_case::test_case;
 use world::{PROXIES, World};
 
-/// One step of the outside world.
+/// One step of the environment.
 #[derive(Clone, Debug)]
 enum Step {
     Advance(u64),
-    Ask(usize),
+    Request(usize),
     Deliver(usize),
     DeliverAll,
     Duplicate(usize),
     Lose(usize),
     Rounds(usize),
-    SomeArrive(u64),
+    DelayedRound(u64),
     Renew(usize),
-    Hear(usize),
+    StoreReceives(usize),
     Confirm(usize),
-    Store(bool),
-    Name(usize, usize),
-    Split(u16, usize, usize),
+    StoreDown(bool),
+    SetLender(usize, usize),
+    Disagree(u16, usize, usize),
     Partition(u16),
     Heal,
     Restart(usize),
@@ -36,9 +36,9 @@
     Busy(usize, u32),
 }
 
-struct Steps;
+struct StepMachine;
 
-impl ReferenceStateMachine for Steps {
+impl ReferenceStateMachine for StepMachine {
     type State = ();
     type Transition = Step;
 
@@ -48,23 +48,23 @@
 
     fn transitions((): &()) -> BoxedStrategy<Step> {
         let proxy = 0..PROXIES;
-        let pick = 0..64_usize;
+        let message = 0..64_usize;
         prop_oneof![
             6 => (1..900_u64).prop_map(Step::Advance),
-            4 => proxy.clone().prop_map(Step::Ask),
-            4 => pick.clone().prop_map(Step::Deliver),
+            4 => proxy.clone().prop_map(Step::Request),
+            4 => message.clone().prop_map(Step::Deliver),
             2 => Just(Step::DeliverAll),
-            2 => pick.clone().prop_map(Step::Duplicate),
-            2 => pick.clone().prop_map(Step::Lose),
+            2 => message.clone().prop_map(Step::Duplicate),
+            2 => message.clone().prop_map(Step::Lose),
             10 => (1..9_usize).prop_map(Step::Rounds),
-            6 => any::<u64>().prop_map(Step::SomeArrive),
+            6 => any::<u64>().prop_map(Step::DelayedRound),
             4 => proxy.clone().prop_map(Step::Renew),
-            4 => pick.clone().prop_map(Step::Hear),
-            4 => pick.clone().prop_map(Step::Confirm),
-            1 => any::<bool>().prop_map(Step::Store),
-            2 => (proxy.clone(), proxy.clone()).prop_map(|(p, l)| Step::Name(p, l)),
+            4 => message.clone().prop_map(Step::StoreReceives),
+            4 => message.clone().prop_map(Step::Confirm),
+            1 => any::<bool>().prop_map(Step::StoreDown),
+            2 => (proxy.clone(), proxy.clone()).prop_map(|(p, l)| Step::SetLender(p, l)),
             4 => (any::<u16>(), proxy.clone(), proxy.clone())
-                .prop_map(|(sides, a, b)| Step::Split(sides, a, b)),
+                .prop_map(|(sides, a, b)| Step::Disagree(sides, a, b)),
             1 => any::<u16>().prop_map(Step::Partition),
             3 => Just(Step::Heal),
             2 => proxy.clone().prop_map(Step::Restart),
@@ -80,11 +80,11 @@
     fn apply((): (), _: &Step) {}
 }
 
-struct Lending;
+struct LendingTest;
 
-impl StateMachineTest for Lending {
+impl StateMachineTest for LendingTest {
     type SystemUnderTest = World;
-    type Reference = Steps;
+    type Reference = StepMachine;
 
     fn init_test((): &()) -> World {
         World::settled()
@@ -93,19 +93,19 @@
     fn apply(mut world: World, (): &(), step: Step) -> World {
         match step {
             Step::Advance(ms) => world.advance(ms),
-            Step::Ask(proxy) => world.ask(proxy),
-            Step::Deliver(at) => world.deliver(at),
+            Step::Request(proxy) => world.request(proxy),
+            Step::Deliver(index) => world.deliver(index),
             Step::DeliverAll => world.deliver_all(),
-            Step::Duplicate(at) => world.duplicate(at),
-            Step::Lose(at) => world.lose(at),
+            Step::Duplicate(index) => world.duplicate(index),
+            Step::Lose(index) => world.lose(index),
             Step::Rounds(n) => world.rounds(n),
             Step::Renew(proxy) => world.renew(proxy),
-            Step::Hear(at) => world.hear(at),
-            Step::Confirm(at) => world.confirm(at),
-            Step::Store(down) => world.store(down),
-            Step::SomeArrive(late) => world.round_but(late),
-            Step::Name(proxy, lender) => world.name(proxy, lender),
-            Step::Split(sides, a, b) => world.split(sides, a, b),
+            Step::StoreReceives(index) => world.store_receives(index),
+            Step::Confirm(index) => world.confirm(index),
+            Step::StoreDown(down) => world.set_store_down(down),
+            Step::DelayedRound(delayed) => world.round_with_delays(delayed),
+            Step::SetLender(proxy, lender) => world.set_lender(proxy, lender),
+            Step::Disagree(sides, a, b) => world.disagree(sides, a, b),
             Step::Partition(mask) => world.partition(mask),
             Step::Heal => world.partition(0),
             Step::Restart(proxy) => world.restart(proxy),
@@ -136,11 +136,11 @@
     })]
 
     #[test]
-    fn never_above_the_limit(sequential 1..150 => Lending);
+    fn never_above_the_limit(sequential 1..150 => LendingTest);
 }
 
-// One proxy has all the demand while the others are idle. It gets the whole pool
-// on top of its floor.
+// One proxy has all the demand while the others are idle. It gets the whole pool in addition to
+// its floor.
 #[test]
 fn demand_gets_the_pool() {
     let mut world = World::settled();
@@ -152,8 +152,8 @@
     );
 }
 
-// Two proxies want everything. They end with equal parts, although one of them
-// held the whole pool before.
+// Two proxies want all connections. They end up with equal parts, although one of them held the
+// whole pool before.
 #[test]
 fn competing_demand_is_shared() {
     let mut world = World::settled();
@@ -163,11 +163,11 @@
     world.set_busy(3, 2);
     world.rounds(8);
     let (a, b) = (world.allowed(3), world.allowed(5));
-    assert!(a.abs_diff(b) <= 1, "{a} against {b}");
+    assert!(a.abs_diff(b) <= 1, "{a} and {b}");
 }
 
-// The lender dies. Borrowers turn to the next one and keep what they hold all the
-// time, although it may lend nothing new for a while.
+// The lender fails. Borrowers switch to the next one and keep their loans throughout, although
+// it may lend nothing new for a while.
 #[test]
 fn loans_survive_the_lender() {
     let mut world = World::settled();
@@ -175,7 +175,7 @@
     world.rounds(4);
     let before = world.allowed(3);
     world.restart(0);
-    (0..PROXIES).for_each(|p| world.name(p, 1));
+    (0..PROXIES).for_each(|p| world.set_lender(p, 1));
     for _ in 0..40 {
         world.advance(100);
         world.round();
@@ -183,8 +183,8 @@
     }
 }
 
-// A proxy is cut off from the lender. It falls back to its floor, not below,
-// and gets its part again after the cut.
+// A proxy is partitioned from the lender. It falls back to its floor, not below it, and gets its
+// part again after the partition.
 #[test]
 fn floor_holds_in_a_partition() {
     let mut world = World::settled();
@@ -198,80 +198,82 @@
     assert!(world.allowed(3) > world.terms().floor());
 }
 
-// The lender hears late that the store renewed its lease: the lease has lapsed since,
-// and another proxy holds the key and lends the pool. The late answer must not give
-// the first one its authority back, since it counts from when the renewal was sent.
+// The store's response to a lease renewal reaches the lender late: the lease has expired since,
+// and another proxy holds the key and lends the pool. The late response must not renew the
+// first one's authority, because the lease counts from when the renewal was sent.
 #[test]
 fn late_renewal_gives_no_authority() {
     let mut world = World::settled();
     world.renew(0);
-    world.hear(0);
+    world.store_receives(0);
     for proxy in 0..PROXIES {
-        world.name(proxy, 1);
+        world.set_lender(proxy, 1);
     }
     world.want(5, 20);
     for _ in 0..60 {
         world.advance(100);
-        world.round_but_confirmations_of(0);
+        world.round_without_confirmation(0);
     }
     assert!(world.allowed(5) > world.terms().floor());
     world.confirm(0);
-    world.name(3, 0);
+    world.set_lender(3, 0);
     world.want(3, 20);
     for _ in 0..40 {
-        world.ask(3);
+        world.request(3);
         world.deliver_all();
         world.check();
         world.advance(100);
     }
 }
 
-// The lender shrinks a loan and the answer is lost. Until the borrower asks again it
-// still holds the old loan, so that nobody else may get the difference.
+// The lender reduces a loan and the response is lost. Until its next request the borrower still
+// holds the old loan, so no other proxy may get the difference.
 #[test]
-fn lost_answer_frees_nothing() {
+fn lost_response_frees_nothing() {
     let mut world = World::settled();
     world.want(3, 20);
     world.rounds(4);
     world.set_busy(3, 0);
     world.want(5, 20);
-    world.ask(5);
+    world.request(5);
     world.deliver_all();
-    world.ask(3);
+    world.request(3);
     world.deliver(0);
     world.lose(0);
-    world.ask(5);
+    world.request(5);
     world.deliver_all();
     world.advance(1);
     world.check();
 }
 
-// The store is out for a minute. Loans lapse, and every proxy keeps its floor; once
-// the store is back, demand gets its connections again.
+// The store is unreachable for a minute. Loans expire, and every proxy keeps its floor. Once the
+// store is reachable again, demand gets its connections again.
 #[test]
-fn floors_hold_while_the_store_is_out() {
+fn floors_hold_while_the_store_is_unreachable() {
     let mut world = World::settled();
     world.want(3, 20);
     world.rounds(4);
-    world.store(true);
+    world.set_store_down(true);
     world.rounds(120);
     assert_eq!(world.allowed(3), world.terms().floor());
-    world.store(false);
+    world.set_store_down(false);
     world.rounds(10);
     assert!(world.allowed(3) > world.terms().floor());
 }
 
-// A proxy's request to a new lender is held up. Its old loan lapses meanwhile, and the
-// old lender, still in office, lends the same connections to another proxy. When the
-// new lender takes over and the late request arrives, it must not be taken at its word.
+// A proxy's request to a new lender is delayed. Meanwhile its old loan expires, and the old
+// lender, which still has the authority, lends the same connections to another proxy. When the
+// new lender takes over and the late request arrives, it must not confirm the expired loan.
 #[test]
-fn late_request_revives_no_loan() {
+fn late_request_confirms_no_expired_loan() {
     let mut world = World::settled();
     world.want(3, 20);
     world.rounds(4);
     let others = |world: &mut World| {
         world.renew_all();
-        [0, 1, 2, 4, 5, 6].into_iter().for_each(|p| world.ask(p));
+        [0, 1, 2, 4, 5, 6]
+            .into_iter()
+            .for_each(|p| world.request(p));
         world.deliver_all();
     };
     let run = |world: &mut World, steps: usize| {
@@ -280,19 +282,19 @@
             others(world);
         }
     };
-    world.name(3, 1);
+    world.set_lender(3, 1);
     run(&mut world, 16);
-    world.ask(3);
+    world.request(3);
     world.deliver_all();
     run(&mut world, 10);
-    world.ask(3);
-    world.hold();
+    world.request(3);
+    world.delay_all();
     world.want(5, 20);
     run(&mut world, 5);
     assert!(world.allowed(5) > world.terms().floor());
-    (0..PROXIES).for_each(|p| world.name(p, 1));
+    (0..PROXIES).for_each(|p| world.set_lender(p, 1));
     run(&mut world, 21);
-    world.release();
+    world.deliver_delayed();
     world.check();
 }
 
