--- a/crates/policy/src/membership.rs
+++ b/crates/policy/src/membership.rs
@@ -1,13 +1,14 @@
-//! Membership: which proxies run, and which of them act for their data centre.
+//! Membership: which proxies run, and which of them have a role for their data centre.
 //!
-//! Within a data centre each proxy sends one heartbeat a second to the next of the others
-//! in a shuffled order, and news travels along with the heartbeats. A proxy that leaves
-//! two without an answer is suspected; unless it contradicts within two seconds, by
-//! raising its incarnation, it is gone. Between data centres only a few proxies keep
-//! links, and silence there condemns nobody for a minute: a cut link looks the same.
+//! Within a data centre, each proxy sends one heartbeat a second to the next of the others in
+//! a shuffled order. Updates about proxies are gossiped with the heartbeats. A proxy that
+//! does not respond to two heartbeats is suspected. Unless it refutes this within two seconds,
+//! by raising its incarnation, it is gone. Between data centres only a few proxies, the
+//! gateways, keep links. The proxies of another data centre are declared gone only after a
+//! minute without contact, because a partition looks the same.
 //!
 //! The platform's VM list lags behind reality. It is used as a list of addresses to try,
-//! and never as proof that a proxy runs or does not.
+//! never as evidence that a proxy runs or does not.
 
 pub mod delegate;
 pub mod gossip;
@@ -32,92 +33,92 @@
 use link::Links;
 use message::{Action, Compare, Heartbeat, Peer};
 use table::{MemberInfo, State, Table};
-use timing::{ALONE, BEAT, COMPARE_EVERY, FETCH, MISSES};
+use timing::{COMPARE_INTERVAL, FETCH_TIMEOUT, HEARTBEAT_INTERVAL, ISOLATED_AFTER, MAX_MISSED};
 
 /// The membership controller of one proxy.
 #[derive(Debug)]
 pub struct Membership {
     me: MemberInfo,
     table: Table,
-    spread: GossipQueue,
+    gossip_queue: GossipQueue,
     links: Links,
     rng: StdRng,
     seeds: Vec<SocketAddr>,
     next_seed: usize,
-    /// Proxies of the own data centre still to get a heartbeat in this round.
-    round: Vec<ProxyId>,
-    misses: IndexMap<ProxyId, u32>,
-    /// When the own data centre was last heard from, by any exchange.
-    contact: Time,
+    /// Proxies of this data centre that have yet to receive a heartbeat in this cycle.
+    cycle: Vec<ProxyId>,
+    missed: IndexMap<ProxyId, u32>,
+    /// When any exchange with a proxy of this data centre last succeeded.
+    last_contact: Time,
     complete: Revision,
     watching: bool,
-    due: Due,
+    schedule: Schedule,
     fetching_until: Option<Time>,
-    storeless_until: Option<Time>,
+    store_unreachable_until: Option<Time>,
 }
 
 /// When periodic work is due next.
 #[derive(Debug, Default)]
-struct Due {
-    beat: Time,
+struct Schedule {
+    heartbeat: Time,
     compare: Time,
     push: Option<Time>,
     last_push: Option<Time>,
 }
 
 impl Membership {
-    /// A proxy that knows itself and some addresses to try; `seed` is its only source of
-    /// randomness.
+    /// The controller of a proxy that knows itself and some addresses to try. `seed` seeds its
+    /// only source of randomness.
     pub fn new(now: Time, me: MemberInfo, seeds: Vec<SocketAddr>, seed: u64) -> Self {
         let mut table = Table::default();
-        table.take(now, me.clone());
-        let mut spread = GossipQueue::default();
-        spread.add(me.clone());
+        table.merge(now, me.clone());
+        let mut gossip_queue = GossipQueue::default();
+        gossip_queue.add(me.clone());
         Self {
             links: Links::new(me.data_centre.clone()),
             me,
             table,
-            spread,
+            gossip_queue,
             rng: StdRng::seed_from_u64(seed),
             seeds,
             next_seed: 0,
-            round: Vec::new(),
-            misses: IndexMap::new(),
-            contact: now,
+            cycle: Vec::new(),
+            missed: IndexMap::new(),
+            last_contact: now,
             complete: Revision::default(),
             watching: false,
-            due: Due {
-                compare: now + COMPARE_EVERY,
-                ..Due::default()
+            schedule: Schedule {
+                compare: now + COMPARE_INTERVAL,
+                ..Schedule::default()
             },
             fetching_until: None,
-            storeless_until: None,
+            store_unreachable_until: None,
         }
     }
 
-    /// What this proxy tells of itself.
+    /// What this proxy sends others about itself.
     pub fn me(&self) -> &MemberInfo {
         &self.me
     }
 
-    /// Every proxy that is known.
+    /// All known proxies.
     pub fn table(&self) -> &Table {
         &self.table
     }
 
-    /// Whether this proxy holds its data centre's watch on the store.
+    /// Whether this proxy watches the store for its data centre.
     pub fn watching(&self) -> bool {
         self.watching
     }
 
-    /// How long ago there was word of another data centre, directly or through others.
+    /// Time since the last contact with another data centre, direct or through others.
     ///
-    /// `None` for the own data centre, and for one that this proxy has no word of.
+    /// `None` for this data centre, and for one without any contact.
     pub fn time_since_contact(&self, now: Time, data_centre: &DataCentre) -> Option<Span> {
         self.links.time_since_contact(now, data_centre)
     }
 
-    /// Replaces the addresses to try when no peer is known, e.g. by the VM list.
+    /// Adds addresses to try when no peer is known, e.g. from the VM list.
     pub fn add_seeds(&mut self, addresses: Vec<SocketAddr>) {
         let new = addresses.into_iter().filter(|a| *a != self.me.address);
         for address in new {
@@ -127,37 +128,37 @@
         }
     }
 
-    /// Time passed.
+    /// Performs what is due at `now`.
     pub fn tick(&mut self, now: Time) -> Vec<Action> {
         let mut actions = Vec::new();
-        self.condemn(now, &mut actions);
-        self.end_storeless(now);
-        if now >= self.due.beat {
-            self.due.beat = now + BEAT;
-            self.beat(now, &mut actions);
+        self.declare_gone(now, &mut actions);
+        self.end_store_unreachable(now);
+        if now >= self.schedule.heartbeat {
+            self.schedule.heartbeat = now + HEARTBEAT_INTERVAL;
+            self.send_heartbeats(now, &mut actions);
         }
-        if self.due.push.is_some_and(|at| now >= at) {
+        if self.schedule.push.is_some_and(|at| now >= at) {
             self.push(now, &mut actions);
         }
-        if now >= self.due.compare {
-            self.due.compare = now + COMPARE_EVERY;
+        if now >= self.schedule.compare {
+            self.schedule.compare = now + COMPARE_INTERVAL;
             self.compare_with_some(&mut actions);
-            self.try_gone(&mut actions);
+            self.contact_gone(&mut actions);
             self.forget(now);
         }
-        self.choose_watch(&mut actions);
+        self.update_watch(&mut actions);
         actions
     }
 
-    fn beat(&mut self, now: Time, actions: &mut Vec<Action>) {
-        let retries = self.misses.iter().filter(|(_, n)| **n < MISSES);
+    fn send_heartbeats(&mut self, now: Time, actions: &mut Vec<Action>) {
+        let retries = self.missed.iter().filter(|(_, n)| **n < MAX_MISSED);
         let retries: Vec<_> = retries.map(|(id, _)| id.clone()).collect();
-        let next = self.next_in_round();
+        let next = self.next_in_cycle();
         for id in next.into_iter().filter(|id| !retries.contains(id)) {
-            self.send(&id, actions);
+            self.send_heartbeat(&id, actions);
         }
         for id in retries {
-            self.send(&id, actions);
+            self.send_heartbeat(&id, actions);
         }
         self.links.begin_round();
         for peer in self.links.due(&self.table, &self.me.id) {
@@ -167,17 +168,17 @@
         self.try_seed(now, actions);
     }
 
-    /// The next proxy of the own data centre; every one comes once in each round, so that
-    /// none stays unwatched by chance.
-    fn next_in_round(&mut self) -> Option<ProxyId> {
+    /// The next proxy of this data centre. Each one is returned once per cycle, so that none
+    /// remains unmonitored by chance.
+    fn next_in_cycle(&mut self) -> Option<ProxyId> {
         loop {
-            if self.round.is_empty() {
+            if self.cycle.is_empty() {
                 let home = self.me.data_centre.clone();
                 let others = self.table.running_in(&home).map(|n| n.id.clone());
-                self.round = others.filter(|id| *id != self.me.id).collect();
-                self.round.shuffle(&mut self.rng);
+                self.cycle = others.filter(|id| *id != self.me.id).collect();
+                self.cycle.shuffle(&mut self.rng);
             }
-            let id = self.round.pop()?;
+            let id = self.cycle.pop()?;
             let running = self.table.get(&id);
             if running.is_some_and(|e| e.info.state != State::Gone) {
                 return Some(id);
@@ -185,11 +186,11 @@
         }
     }
 
-    /// Tries an address from the settings while the own data centre is silent.
+    /// Sends a heartbeat to one of the seeds while this data centre is out of contact.
     fn try_seed(&mut self, now: Time, actions: &mut Vec<Action>) {
-        let known = self.table.running().count() > 1;
-        let lonely = now.since(self.contact) > ALONE;
-        if self.seeds.is_empty() || (known && !lonely) {
+        let knows_others = self.table.running().count() > 1;
+        let isolated = now.since(self.last_contact) > ISOLATED_AFTER;
+        if self.seeds.is_empty() || (knows_others && !isolated) {
             return;
         }
         let address = self.seeds[self.next_seed % self.seeds.len()];
@@ -201,7 +202,7 @@
         }
     }
 
-    fn send(&mut self, id: &ProxyId, actions: &mut Vec<Action>) {
+    fn send_heartbeat(&mut self, id: &ProxyId, actions: &mut Vec<Action>) {
         let Some(peer) = self.peer(id) else {
             return;
         };
@@ -218,24 +219,24 @@
     }
 
     fn heartbeat_to(&mut self, peer: &Peer) -> Heartbeat {
-        let mut updates = self.spread.take(self.table.running().count());
+        let mut updates = self.gossip_queue.take(self.table.running().count());
         let entry = peer.id.as_ref().and_then(|id| self.table.get(id));
-        // A proxy that is taken for dead must hear of it, to contradict.
+        // A proxy that others suspect or take for gone must learn of it to refute it.
         if let Some(entry) = entry.filter(|e| e.info.state != State::Live)
             && !updates.iter().any(|n| n.id == entry.info.id)
         {
             updates.push(entry.info.clone());
         }
         let home = &self.me.data_centre;
-        let far = entry.is_none_or(|e| e.info.data_centre != *home);
+        let remote = entry.is_none_or(|e| e.info.data_centre != *home);
         let other_gateways = delegate::other_gateways(&self.table, home, &self.me.id);
-        let fellow =
+        let is_gateway =
             other_gateways.is_some_and(|f| f.iter().any(|n| Some(&n.id) == peer.id.as_ref()));
         Heartbeat {
             from: self.me.clone(),
             updates,
             complete: self.complete,
-            rounds: if far || fellow {
+            rounds: if remote || is_gateway {
                 self.links.rounds()
             } else {
                 IndexMap::new()
@@ -243,72 +244,72 @@
         }
     }
 
-    /// A heartbeat came in; the first value is the answer to it.
+    /// Processes a received heartbeat; the first value is the response to it.
     pub fn receive(&mut self, now: Time, heartbeat: Heartbeat) -> (Heartbeat, Vec<Action>) {
         let peer = Peer {
             id: Some(heartbeat.from.id.clone()),
             address: heartbeat.from.address,
         };
-        let actions = self.take(now, heartbeat);
+        let actions = self.process_heartbeat(now, heartbeat);
         (self.heartbeat_to(&peer), actions)
     }
 
-    /// A heartbeat was answered.
-    pub fn response_received(&mut self, now: Time, answer: Heartbeat) -> Vec<Action> {
-        self.take(now, answer)
+    /// Processes the response to a heartbeat.
+    pub fn response_received(&mut self, now: Time, response: Heartbeat) -> Vec<Action> {
+        self.process_heartbeat(now, response)
     }
 
-    fn take(&mut self, now: Time, heartbeat: Heartbeat) -> Vec<Action> {
+    fn process_heartbeat(&mut self, now: Time, heartbeat: Heartbeat) -> Vec<Action> {
         let mut actions = Vec::new();
         let from = heartbeat.from;
-        self.misses.shift_remove(&from.id);
+        self.missed.shift_remove(&from.id);
         let peer = Peer {
             id: Some(from.id.clone()),
             address: from.address,
         };
         if from.data_centre == self.me.data_centre {
-            self.contact = now;
+            self.last_contact = now;
         } else {
-            let back = self.links.contact(now, &from.data_centre);
-            if back {
+            let resumed = self.links.contact(now, &from.data_centre);
+            if resumed {
                 let digests = self.table.digests();
                 actions.push(Action::Compare(peer.clone(), Compare { digests }));
             }
         }
         if self.table.running().count() == 1 {
-            // Just started: the peer's table tells of all others at once.
+            // Just started: the peer's table has all other proxies at once.
             let digests = self.table.digests();
             actions.push(Action::Compare(peer.clone(), Compare { digests }));
         }
-        self.links.relayed(now, &heartbeat.rounds);
-        let mut changed = self.learn(now, from);
+        self.links.merge_rounds(now, &heartbeat.rounds);
+        let mut changed = self.merge(now, from);
         for info in heartbeat.updates {
-            changed |= self.learn(now, info);
+            changed |= self.merge(now, info);
         }
         if changed {
             actions.push(Action::Changed);
         }
-        let idle = self.fetching_until.is_none_or(|until| now >= until);
-        if heartbeat.complete > self.complete && idle {
-            self.fetching_until = Some(now + FETCH);
+        let may_fetch = self.fetching_until.is_none_or(|until| now >= until);
+        if heartbeat.complete > self.complete && may_fetch {
+            self.fetching_until = Some(now + FETCH_TIMEOUT);
             actions.push(Action::Fetch(peer, self.complete));
         }
         actions
     }
 
-    fn learn(&mut self, now: Time, info: MemberInfo) -> bool {
+    fn merge(&mut self, now: Time, info: MemberInfo) -> bool {
         if info.id == self.me.id {
-            return self.contradict(now, &info);
+            return self.refute(now, &info);
         }
-        let taken = self.table.take(now, info.clone());
-        if taken {
-            self.spread.add(info);
+        let is_newer = self.table.merge(now, info.clone());
+        if is_newer {
+            self.gossip_queue.add(info);
         }
-        taken
+        is_newer
     }
 
     fn announce(&mut self, now: Time) {
-        self.table.take(now, self.me.clone());
-        self.spread.add(self.me.clone());
+        self.table.merge(now, self.me.clone());
+        self.gossip_queue.add(self.me.clone());
     }
 }
--- a/crates/policy/src/membership/message.rs
+++ b/crates/policy/src/membership/message.rs
@@ -1,5 +1,4 @@
-//! What proxies tell each other about membership, and the events and actions of the
-//! controller.
+//! Membership messages between proxies, and the actions of the controller.
 
 use std::net::SocketAddr;
 
@@ -9,23 +8,24 @@
 
 use crate::membership::table::MemberInfo;
 
-/// A heartbeat, and likewise its answer.
+/// A heartbeat; the response has the same form.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Heartbeat {
     /// The sender.
     pub from: MemberInfo,
-    /// News of others.
+    /// Updates about other proxies.
     #[serde(rename = "news", default)]
     pub updates: Vec<MemberInfo>,
-    /// Revision up to which the sender knows every record of the store.
+    /// Revision up to which the sender has all records of the store.
     #[serde(default)]
     pub complete: Revision,
-    /// Between keepers of links: the turns that the sender heard of, by data centre.
+    /// Highest round that the sender knows of each data centre; sent to other gateways and to
+    /// other data centres only.
     #[serde(rename = "turns", default, skip_serializing_if = "IndexMap::is_empty")]
     pub rounds: IndexMap<DataCentre, u64>,
 }
 
-/// A comparison of tables: hashes of what the sender knows, by data centre.
+/// Request to compare tables: hashes of the sender's entries, by data centre.
 #[derive(Clone, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(default)]
 pub struct Compare {
@@ -33,21 +33,21 @@
     pub digests: IndexMap<DataCentre, u64>,
 }
 
-/// The answer to [`Compare`]: the table of each data centre whose hash differs.
+/// Response to [`Compare`]: the entries of each data centre whose hash differs.
 #[derive(Clone, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(default)]
 pub struct Tables {
-    /// Every proxy of those data centres.
+    /// All known proxies of those data centres.
     #[serde(rename = "news")]
     pub members: Vec<MemberInfo>,
 }
 
-/// How an exchange with a peer ended.
+/// How an exchange with a peer failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// The peer's VM refused: no process listens there.
+    /// The peer's VM refused the connection: no process listens there.
     Refused,
-    /// No answer.
+    /// No response.
     Unresponsive,
 }
 
@@ -60,17 +60,17 @@
     pub address: SocketAddr,
 }
 
-/// What the controller wants done.
+/// What the controller orders its task to do.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Send a heartbeat and report its answer.
+    /// Send a heartbeat and report the response.
     Heartbeat(Peer, Heartbeat),
-    /// Compare tables and report the answer.
+    /// Compare tables and report the response.
     Compare(Peer, Compare),
-    /// Ask a peer for records after a revision.
+    /// Fetch the records after a revision from a peer.
     Fetch(Peer, Revision),
-    /// Begin or end watching the store for the data centre.
+    /// Start or stop watching the store for the data centre.
     Watch(bool),
-    /// The running proxies changed.
+    /// The known proxies or their states changed.
     Changed,
 }
--- a/crates/policy/src/membership/table.rs
+++ b/crates/policy/src/membership/table.rs
@@ -1,4 +1,4 @@
-//! What is known of every proxy, and which of two contradicting news counts.
+//! The known state of every proxy, and which of two contradicting updates applies.
 
 use std::net::SocketAddr;
 
@@ -7,7 +7,7 @@
 use model::id::{DataCentre, ProxyId};
 use model::unit::Time;
 
-/// State of a proxy, ordered by which one counts when two arrive under one incarnation.
+/// State of a proxy. With the same incarnation, the greater state overrides the other.
 #[derive(
     Clone,
     Copy,
@@ -23,12 +23,12 @@
 )]
 #[serde(rename_all = "snake_case")]
 pub enum State {
-    /// It answers heartbeats.
+    /// It responds to heartbeats.
     #[default]
     Live,
-    /// It left heartbeats without an answer and may still contradict.
+    /// It did not respond to heartbeats and may still refute the suspicion.
     Suspected,
-    /// It did not contradict in time, or said goodbye.
+    /// It did not refute in time, or announced that it exits.
     Gone,
 }
 
@@ -43,24 +43,24 @@
     }
 }
 
-/// News of one proxy, as proxies pass it on.
+/// State of one proxy, as gossiped between proxies.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct MemberInfo {
     /// The proxy.
     pub id: ProxyId,
     /// Where it runs.
     pub data_centre: DataCentre,
-    /// Where peers reach it.
+    /// The address for its peers.
     pub address: SocketAddr,
-    /// Raised by the proxy itself, to contradict older news of it.
+    /// Raised by the proxy itself, to override older updates about it.
     pub incarnation: u64,
     /// Its state.
     #[serde(default)]
     pub state: State,
-    /// Whether it is being stopped: it takes on no duties.
+    /// Whether it is being stopped: it takes no roles.
     #[serde(default)]
     pub draining: bool,
-    /// Whether it lately failed to reach the store: another one should watch.
+    /// Whether it recently failed to reach the store: another one should watch it.
     #[serde(rename = "storeless", default)]
     pub store_unreachable: bool,
 }
@@ -74,22 +74,22 @@
 /// A proxy with the time of the last change of its state.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
-    /// What is known of it.
+    /// The last known state.
     pub info: MemberInfo,
-    /// When its state last changed here.
+    /// When the state last changed in this table.
     pub since: Time,
 }
 
-/// Every proxy that is known, also the gone ones: forgetting them at once would let late
-/// news bring them back.
+/// All known proxies, including the gone ones: if they were removed at once, late updates
+/// would add them again.
 #[derive(Clone, Debug, Default)]
 pub struct Table {
     entries: IndexMap<ProxyId, Entry>,
 }
 
 impl Table {
-    /// Takes in news; returns whether it was newer than what was known.
-    pub fn take(&mut self, now: Time, info: MemberInfo) -> bool {
+    /// Merges an update; returns whether it was newer than the entry.
+    pub fn merge(&mut self, now: Time, info: MemberInfo) -> bool {
         let known = self.entries.get(&info.id);
         if known.is_some_and(|entry| entry.info.rank() >= info.rank()) {
             return false;
@@ -100,45 +100,48 @@
         true
     }
 
-    /// What is known of a proxy.
+    /// The entry of a proxy.
     pub fn get(&self, id: &ProxyId) -> Option<&Entry> {
         self.entries.get(id)
     }
 
-    /// Every entry.
+    /// All entries.
     pub fn iter(&self) -> impl Iterator<Item = &Entry> {
         self.entries.values()
     }
 
-    /// Proxies that count as running: live ones, and suspected ones until they are gone.
+    /// Running proxies: the live ones, and suspected ones until they are gone.
     pub fn running(&self) -> impl Iterator<Item = &MemberInfo> {
         let info = self.entries.values().map(|entry| &entry.info);
         info.filter(|info| info.state != State::Gone)
     }
 
     /// Running proxies of a data centre.
-    pub fn running_in<'a>(&'a self, place: &'a DataCentre) -> impl Iterator<Item = &'a MemberInfo> {
+    pub fn running_in<'a>(
+        &'a self,
+        data_centre: &'a DataCentre,
+    ) -> impl Iterator<Item = &'a MemberInfo> {
         self.running()
-            .filter(move |info| info.data_centre == *place)
+            .filter(move |info| info.data_centre == *data_centre)
     }
 
-    /// Every known data centre, in a common order.
+    /// All known data centres, in the same order on each proxy.
     pub fn data_centres(&self) -> Vec<DataCentre> {
-        let names = self.entries.values().map(|e| &e.info.data_centre);
+        let names = self.entries.values().map(|entry| &entry.info.data_centre);
         let mut names: Vec<_> = names.cloned().collect();
         names.sort();
         names.dedup();
         names
     }
 
-    /// Drops gone proxies whose state has not changed since `before`.
+    /// Removes gone proxies whose state has not changed since `before`.
     pub fn forget(&mut self, before: Time) {
         self.entries
-            .retain(|_, e| e.info.state != State::Gone || e.since >= before);
+            .retain(|_, entry| entry.info.state != State::Gone || entry.since >= before);
     }
 
-    /// A hash of what is known of each data centre's running proxies, to find out cheaply
-    /// whether two tables agree.
+    /// A hash of the entries of each data centre's running proxies, to compare two tables
+    /// cheaply.
     pub fn digests(&self) -> IndexMap<DataCentre, u64> {
         let mut digests = IndexMap::new();
         for info in self.running() {
--- a/crates/policy/tests/fleet/world.rs
+++ b/crates/policy/tests/fleet/world.rs
@@ -1,4 +1,5 @@
-//! A few membership controllers and adopters, joined by a queue of messages.
+//! Simulated proxies, each with a membership controller and a configuration mirror, connected by
+//! a message queue.
 
 use std::collections::{BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -16,13 +17,13 @@
 use rand::{Rng as _, SeedableRng as _};
 
 const STEP: Span = Span::from_millis(50);
-const DELAY_MS: std::ops::Range<u64> = 1..120;
-const GIVE_UP: Span = Span::from_millis(500);
+const DELAYS_MS: std::ops::Range<u64> = 1..120;
+const TIMEOUT: Span = Span::from_millis(500);
 
 pub(crate) struct Proxy {
-    pub(crate) member: Membership,
-    pub(crate) adopter: ConfigMirror,
-    pub(crate) site: usize,
+    pub(crate) membership: Membership,
+    pub(crate) mirror: ConfigMirror,
+    pub(crate) data_centre: usize,
     pub(crate) alive: bool,
     pub(crate) paused_until: Time,
     watching: bool,
@@ -31,8 +32,8 @@
 
 #[derive(Clone)]
 enum Body {
-    Beat(Heartbeat),
-    BeatAnswer(Heartbeat),
+    Heartbeat(Heartbeat),
+    HeartbeatResponse(Heartbeat),
     Compare(Compare),
     Tables(Tables),
     Fetch(Revision),
@@ -50,23 +51,23 @@
 pub(crate) struct World {
     pub(crate) now: Time,
     pub(crate) proxies: Vec<Proxy>,
-    /// Pairs of data centres that do not reach each other.
-    pub(crate) cuts: BTreeSet<(usize, usize)>,
-    /// Data centres that do not reach the store.
-    pub(crate) storeless: BTreeSet<usize>,
-    /// Share of messages that are lost, in percent.
-    pub(crate) loss: u32,
+    /// Pairs of data centres that cannot reach each other.
+    pub(crate) partitions: BTreeSet<(usize, usize)>,
+    /// Data centres that cannot reach the store.
+    pub(crate) without_store: BTreeSet<usize>,
+    /// Share of lost messages, in percent.
+    pub(crate) loss_percent: u32,
     pub(crate) head: Record,
     queue: VecDeque<Message>,
     rng: StdRng,
 }
 
-fn centre(site: usize) -> DataCentre {
-    format!("dc{site}").parse().unwrap()
+fn data_centre_id(data_centre: usize) -> DataCentre {
+    format!("dc{data_centre}").parse().unwrap()
 }
 
-fn address(at: usize) -> SocketAddr {
-    SocketAddr::from(([10, 0, 0, 0], u16::try_from(at + 1).unwrap()))
+fn address(index: usize) -> SocketAddr {
+    SocketAddr::from(([10, 0, 0, 0], u16::try_from(index + 1).unwrap()))
 }
 
 pub(crate) fn head(revision: u64) -> Record {
@@ -85,37 +86,37 @@
         Self {
             now: Time::from_millis(1_000),
             proxies: Vec::new(),
-            cuts: BTreeSet::new(),
-            storeless: BTreeSet::new(),
-            loss: 0,
+            partitions: BTreeSet::new(),
+            without_store: BTreeSet::new(),
+            loss_percent: 0,
             head: head(1),
             queue: VecDeque::new(),
             rng: StdRng::seed_from_u64(seed),
         }
     }
 
-    pub(crate) fn start(&mut self, site: usize) -> usize {
-        let at = self.proxies.len();
+    pub(crate) fn start(&mut self, data_centre: usize) -> usize {
+        let index = self.proxies.len();
         let me = MemberInfo {
-            id: format!("p{at}").parse::<ProxyId>().unwrap(),
-            data_centre: centre(site),
-            address: address(at),
+            id: format!("p{index}").parse::<ProxyId>().unwrap(),
+            data_centre: data_centre_id(data_centre),
+            address: address(index),
             incarnation: 0,
             state: State::Live,
             draining: false,
             store_unreachable: false,
         };
-        let seeds = (0..at).map(address).collect();
+        let seeds = (0..index).map(address).collect();
         self.proxies.push(Proxy {
-            member: Membership::new(self.now, me, seeds, self.rng.random()),
-            adopter: ConfigMirror::default(),
-            site,
+            membership: Membership::new(self.now, me, seeds, self.rng.random()),
+            mirror: ConfigMirror::default(),
+            data_centre,
             alive: true,
             paused_until: Time::default(),
             watching: false,
             store_due: self.now,
         });
-        at
+        index
     }
 
     pub(crate) fn running(&self) -> impl Iterator<Item = &Proxy> {
@@ -139,11 +140,11 @@
         for message in due {
             self.deliver(message);
         }
-        for at in 0..self.proxies.len() {
-            if self.awake(at) {
-                let actions = self.proxies[at].member.tick(self.now);
-                self.perform(at, actions);
-                self.visit_store(at);
+        for index in 0..self.proxies.len() {
+            if self.is_awake(index) {
+                let actions = self.proxies[index].membership.tick(self.now);
+                self.perform(index, actions);
+                self.read_store(index);
             }
         }
     }
@@ -156,62 +157,62 @@
         due
     }
 
-    fn awake(&self, at: usize) -> bool {
-        self.proxies[at].alive && self.now >= self.proxies[at].paused_until
+    fn is_awake(&self, index: usize) -> bool {
+        self.proxies[index].alive && self.now >= self.proxies[index].paused_until
     }
 
-    fn reaches(&self, from: usize, to: usize) -> bool {
-        let (a, b) = (self.proxies[from].site, self.proxies[to].site);
-        !self.cuts.contains(&(a.min(b), a.max(b)))
+    fn can_reach(&self, from: usize, to: usize) -> bool {
+        let (a, b) = (self.proxies[from].data_centre, self.proxies[to].data_centre);
+        !self.partitions.contains(&(a.min(b), a.max(b)))
     }
 
-    fn perform(&mut self, at: usize, actions: Vec<Action>) {
+    fn perform(&mut self, me: usize, actions: Vec<Action>) {
         for action in actions {
             match action {
-                Action::Heartbeat(peer, beat) => self.request(at, &peer, &Body::Beat(beat), true),
+                Action::Heartbeat(peer, msg) => self.call(me, &peer, &Body::Heartbeat(msg), true),
                 Action::Compare(peer, compare) => {
-                    self.request(at, &peer, &Body::Compare(compare), false);
+                    self.call(me, &peer, &Body::Compare(compare), false);
                 }
-                Action::Fetch(peer, after) => self.request(at, &peer, &Body::Fetch(after), false),
-                Action::Watch(watch) => self.proxies[at].watching = watch,
+                Action::Fetch(peer, after) => self.call(me, &peer, &Body::Fetch(after), false),
+                Action::Watch(watch) => self.proxies[me].watching = watch,
                 Action::Changed => {}
             }
         }
     }
 
-    fn request(&mut self, from: usize, peer: &Peer, body: &Body, beat: bool) {
+    fn call(&mut self, from: usize, peer: &Peer, body: &Body, heartbeat: bool) {
         let to = usize::from(peer.address.port()) - 1;
-        let silent = !self.reaches(from, to) || self.lost() || !self.awake(to);
-        if self.proxies[to].alive && !silent {
+        let unresponsive = !self.can_reach(from, to) || self.is_lost() || !self.is_awake(to);
+        if self.proxies[to].alive && !unresponsive {
             self.send(from, to, body);
             return;
         }
-        let failure = if self.proxies[to].alive || !self.reaches(from, to) {
+        let failure = if self.proxies[to].alive || !self.can_reach(from, to) {
             Failure::Unresponsive
         } else {
             Failure::Refused
         };
         self.queue.push_back(Message {
-            due: self.now + GIVE_UP,
+            due: self.now + TIMEOUT,
             from: to,
             to: from,
-            body: Body::Failed(peer.clone(), failure, beat),
+            body: Body::Failed(peer.clone(), failure, heartbeat),
         });
     }
 
-    fn lost(&mut self) -> bool {
-        self.rng.random_range(0..100) < self.loss
+    fn is_lost(&mut self) -> bool {
+        self.rng.random_range(0..100) < self.loss_percent
     }
 
     fn send(&mut self, from: usize, to: usize, body: &Body) {
-        // Now and then a message arrives twice, the second time late.
+        // Some messages arrive twice, the second time late.
         let copies = if self.rng.random_range(0..20) == 0 {
             2
         } else {
             1
         };
         for copy in 0..copies {
-            let delay = self.rng.random_range(DELAY_MS) * (1 + copy * 20);
+            let delay = self.rng.random_range(DELAYS_MS) * (1 + copy * 20);
             let due = self.now + Span::from_millis(delay);
             let body = body.clone();
             self.queue.push_back(Message {
@@ -225,78 +226,80 @@
 
     fn deliver(&mut self, message: Message) {
         let Message { from, to, body, .. } = message;
-        if !self.awake(to) {
+        if !self.is_awake(to) {
             return;
         }
         let now = self.now;
         let proxy = &mut self.proxies[to];
         let actions = match body {
-            Body::Beat(beat) => {
-                let (answer, actions) = proxy.member.receive(now, beat);
-                self.answer(to, from, &Body::BeatAnswer(answer));
+            Body::Heartbeat(heartbeat) => {
+                let (response, actions) = proxy.membership.receive(now, heartbeat);
+                self.respond(to, from, &Body::HeartbeatResponse(response));
                 actions
             }
-            Body::BeatAnswer(answer) => proxy.member.response_received(now, answer),
+            Body::HeartbeatResponse(response) => proxy.membership.response_received(now, response),
             Body::Compare(compare) => {
-                let tables = proxy.member.differing_tables(&compare);
-                self.answer(to, from, &Body::Tables(tables));
+                let tables = proxy.membership.differing_tables(&compare);
+                self.respond(to, from, &Body::Tables(tables));
                 Vec::new()
             }
-            Body::Tables(tables) => proxy.member.tables_received(now, tables),
+            Body::Tables(tables) => proxy.membership.tables_received(now, tables),
             Body::Fetch(after) => {
-                let delta = proxy.adopter.changes_since(after);
-                self.answer(to, from, &Body::Delta(delta));
+                let delta = proxy.mirror.changes_since(after);
+                self.respond(to, from, &Body::Delta(delta));
                 Vec::new()
             }
             Body::Delta(delta) => return self.merge(to, from, delta),
-            Body::Failed(peer, failure, true) => proxy.member.heartbeat_failed(now, &peer, failure),
-            Body::Failed(peer, _, false) => proxy.member.fetch_finished(now, &peer, false),
+            Body::Failed(p, failure, true) => proxy.membership.heartbeat_failed(now, &p, failure),
+            Body::Failed(peer, _, false) => proxy.membership.fetch_finished(now, &peer, false),
         };
         self.perform(to, actions);
     }
 
-    fn answer(&mut self, from: usize, to: usize, body: &Body) {
-        if self.reaches(from, to) && !self.lost() {
+    fn respond(&mut self, from: usize, to: usize, body: &Body) {
+        if self.can_reach(from, to) && !self.is_lost() {
             self.send(from, to, body);
         }
     }
 
-    fn merge(&mut self, at: usize, from: usize, delta: Delta) {
+    fn merge(&mut self, index: usize, from: usize, delta: Delta) {
         let peer = Peer {
             id: None,
             address: address(from),
         };
         let now = self.now;
-        let proxy = &mut self.proxies[at];
+        let proxy = &mut self.proxies[index];
         let more = delta.more;
-        proxy.adopter.merge(delta);
-        let complete = proxy.adopter.complete();
-        let mut actions = proxy.member.revision_advanced(now, complete);
-        actions.extend(proxy.member.fetch_finished(now, &peer, more));
-        self.perform(at, actions);
+        proxy.mirror.merge(delta);
+        let complete = proxy.mirror.complete();
+        let mut actions = proxy.membership.revision_advanced(now, complete);
+        actions.extend(proxy.membership.fetch_finished(now, &peer, more));
+        self.perform(index, actions);
     }
 
-    /// A watching proxy reads the store; without an answer it says so.
-    fn visit_store(&mut self, at: usize) {
+    /// A watching proxy reads the store, or reports to its controller that the store failed.
+    fn read_store(&mut self, index: usize) {
         let now = self.now;
-        let down = self.storeless.contains(&self.proxies[at].site);
-        let proxy = &mut self.proxies[at];
+        let unreachable = self
+            .without_store
+            .contains(&self.proxies[index].data_centre);
+        let proxy = &mut self.proxies[index];
         if !proxy.watching || now < proxy.store_due {
             return;
         }
-        proxy.store_due = now + GIVE_UP;
-        let actions = if down {
-            proxy.member.store_failed(now)
+        proxy.store_due = now + TIMEOUT;
+        let actions = if unreachable {
+            proxy.membership.store_failed(now)
         } else {
-            proxy.member.store_responded(now);
-            proxy.adopter.merge(Delta {
-                after: proxy.adopter.complete(),
+            proxy.membership.store_responded(now);
+            proxy.mirror.merge(Delta {
+                after: proxy.mirror.complete(),
                 records: vec![self.head.clone()],
                 complete: self.head.revision,
                 more: false,
             });
-            proxy.member.revision_advanced(now, self.head.revision)
+            proxy.membership.revision_advanced(now, self.head.revision)
         };
-        self.perform(at, actions);
+        self.perform(index, actions);
     }
 }
