--- a/crates/policy/src/config_mirror.rs
+++ b/crates/policy/src/config_mirror.rs
@@ -13,9 +13,9 @@
 use model::document::{self, Decoder, DocumentError};
 use model::position::Revision;
 
-/// Most bytes of values in one [`Delta`], beyond which it is split. A starting proxy fetches
-/// megabytes. One long response would delay heartbeats on the same connection, and the sender
-/// would seem unresponsive. At a cross-region share of 400 KB/s this much takes under a second.
+/// Bytes of values after which a [`Delta`] is split. A starting proxy fetches megabytes.
+/// One long response would delay heartbeats on the same connection, and the sender would seem
+/// unresponsive. At a cross-region share of 400 KB/s this much takes under a second.
 pub const DELTA_BYTES: usize = 256 << 10;
 
 /// The value of a key.
--- a/crates/policy/src/fallback.rs
+++ b/crates/policy/src/fallback.rs
@@ -1,9 +1,9 @@
 //! Which remote proxy serves a group that this proxy cannot reach itself.
 //!
 //! Under load, a partition separates some proxies from a new primary, or all connections of
-//! an instance are in use, many of them VMs that have just lost power. Without a fallback, the
-//! callers of those proxies would be rejected until the partition heals or the instance
-//! drops dead connections after 3 s, although another proxy could serve them. Finding one
+//! an instance are taken, many of them by VMs that have just lost power. Without a fallback,
+//! the callers of those proxies would be rejected until the partition heals or the instance
+//! drops dead connections after 3 s, although another proxy nearby could serve them. Finding one
 //! costs each proxy a few queries. If every statement sent them, they would flood the
 //! proxies, so one statement searches for all, a few proxies at a time.
 
@@ -17,8 +17,8 @@
 /// Proxies that one search queries.
 const SEARCH_SIZE: usize = 3;
 
-/// Time between two searches. One takes about a round trip; the next one queries
-/// other proxies.
+/// Time between two searches. A search takes about a round trip; the next one queries other
+/// proxies.
 const SEARCH_INTERVAL: Span = Span::from_millis(150);
 
 /// How a statement is served that this proxy cannot serve itself.
--- a/crates/policy/src/pooler_retry.rs
+++ b/crates/policy/src/pooler_retry.rs
@@ -42,7 +42,7 @@
     RetryAfter(Span),
     /// Look for another proxy that reaches the group; see [`crate::fallback`].
     Fallback,
-    /// Use this proxy's own pool: no pooler responded, so it is partitioned from them.
+    /// Use this proxy's own pool: no pooler responded, so it is probably partitioned.
     OwnPool,
 }
 
