--- a/crates/policy/src/confirm.rs
+++ b/crates/policy/src/confirm.rs
@@ -5,33 +5,33 @@
 use model::position::{Point, Position, Term};
 use model::unit::Time;
 
-use crate::message::Ticket;
+use crate::message::RequestId;
 use crate::route::Unconfirmed;
 use crate::status::Status;
 
 /// A write that waits for its majority.
 #[derive(Clone, Copy, Debug)]
 struct Pending {
-    ticket: Ticket,
+    request: RequestId,
     position: Position,
     deadline: Time,
 }
 
 /// Outcome of a confirmation.
-pub type Outcome = (Ticket, Result<(), Unconfirmed>);
+pub type Outcome = (RequestId, Result<(), Unconfirmed>);
 
 /// Confirmations of one group under its newest term.
 ///
 /// Invariant: `held` only has positions of `term`, each proven by a status that showed no
 /// later promise. A proof never expires: a fence that comes later finds the record.
 #[derive(Clone, Debug, Default)]
-pub struct Confirm {
+pub struct Confirmations {
     term: Term,
     held: IndexMap<InstanceId, Position>,
     pending: Vec<Pending>,
 }
 
-impl Confirm {
+impl Confirmations {
     /// Moves to a newer term; writes of the older one are given up as unknown.
     ///
     /// They may have survived the promotion, but they ran on a primary that is replaced,
@@ -45,14 +45,14 @@
         let replaced = std::mem::take(&mut self.pending);
         replaced
             .into_iter()
-            .map(|p| (p.ticket, Err(Unconfirmed::Replaced)))
+            .map(|p| (p.request, Err(Unconfirmed::Replaced)))
             .collect()
     }
 
     /// Takes in a write that ran on `primary`; its commit proves that the primary holds it.
     pub fn add(
         &mut self,
-        ticket: Ticket,
+        request: RequestId,
         point: Point,
         primary: &InstanceId,
         deadline: Time,
@@ -65,7 +65,7 @@
         }
         self.raise(primary, point.position);
         self.pending.push(Pending {
-            ticket,
+            request,
             position: point.position,
             deadline,
         });
@@ -97,7 +97,7 @@
             } else {
                 return true;
             };
-            out.push((p.ticket, result));
+            out.push((p.request, result));
             false
         });
         out
--- a/crates/policy/src/decision.rs
+++ b/crates/policy/src/decision.rs
@@ -15,9 +15,9 @@
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, serde::Serialize, serde::Deserialize,
 )]
-pub struct Trace(pub u64);
+pub struct TraceId(pub u64);
 
-impl fmt::Display for Trace {
+impl fmt::Display for TraceId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{:016x}", self.0)
     }
@@ -152,7 +152,7 @@
     /// Term that the decision concerns.
     pub term: Term,
     /// Change of primary that it belongs to.
-    pub trace: Trace,
+    pub trace: TraceId,
     /// What was decided.
     pub what: What,
     /// Stage that it ends, with the time that the stage took.
@@ -165,9 +165,9 @@
 
 /// The newest decisions of a group.
 #[derive(Clone, Debug, Default)]
-pub struct Ring(VecDeque<Decision>);
+pub struct DecisionLog(VecDeque<Decision>);
 
-impl Ring {
+impl DecisionLog {
     /// Adds a decision.
     pub fn push(&mut self, decision: Decision) {
         if self.0.len() == KEPT {
--- a/crates/policy/src/failure_detector.rs
+++ b/crates/policy/src/failure_detector.rs
@@ -13,11 +13,11 @@
 use crate::decision::{Cause, Fact};
 use crate::message::PeerReport;
 use crate::spec::Spec;
-use crate::status::{Observed, Role};
+use crate::status::{Observation, Role};
 
 /// Silence after which fresh connections are tried and other proxies are asked. It lies
 /// above the round trip between regions (40 ms) plus the opening of a connection (30 ms).
-pub const DOUBT_AFTER: Span = Span::from_millis(100);
+pub const PROBE_AFTER: Span = Span::from_millis(100);
 
 /// Age up to which a replica's view and a peer's view count. Both are renewed every
 /// [`crate::poll::DOUBT`] during doubt, so that this allows for three lost rounds.
@@ -34,7 +34,7 @@
 
 /// How an instance answers this proxy.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Reach {
+pub struct Reachability {
     /// When its newest answer arrived.
     pub answered: Option<Time>,
     /// Start of the oldest question since then that brought no answer.
@@ -45,7 +45,7 @@
     pub refused: u32,
 }
 
-impl Reach {
+impl Reachability {
     /// Takes in an answer.
     pub fn answer(&mut self, now: Time) {
         *self = Self {
@@ -97,15 +97,15 @@
 
 /// A peer's view with the time of its arrival.
 #[derive(Clone, Debug)]
-pub struct Heard {
+pub struct ReceivedReport {
     /// What it said.
-    pub view: PeerReport,
+    pub report: PeerReport,
     /// When.
     pub at: Time,
 }
 
 /// What is known about a primary.
-pub struct View<'a> {
+pub struct PrimaryView<'a> {
     /// The present.
     pub now: Time,
     /// The group.
@@ -115,11 +115,11 @@
     /// Since when it is known to lead.
     pub since: Time,
     /// How it answers this proxy.
-    pub reach: Reach,
+    pub reach: Reachability,
     /// Newest observation of each instance.
-    pub seen: &'a IndexMap<InstanceId, Observed>,
+    pub seen: &'a IndexMap<InstanceId, Observation>,
     /// Newest view of each other proxy.
-    pub peers: &'a IndexMap<ProxyId, Heard>,
+    pub peers: &'a IndexMap<ProxyId, ReceivedReport>,
 }
 
 /// What to do about a primary.
@@ -128,14 +128,14 @@
     /// It answers.
     Healthy,
     /// It is silent, but not proven lost.
-    Doubt,
+    Suspect,
     /// Other proxies reach it: go through this one.
     Forward(ProxyId),
     /// It is to be replaced.
     Replace(Cause),
 }
 
-impl View<'_> {
+impl PrimaryView<'_> {
     /// Silence that counts as loss. A stalled server keeps its socket open, so that
     /// connections to it hang; where they are refused, the process is gone, and half the
     /// time is enough. A process that restarts within it is replaced without harm, as
@@ -158,52 +158,52 @@
         if settled && self.unheard(long).len() >= self.spec.majority() {
             return Verdict::Replace(Cause::Isolated);
         }
-        if silent < DOUBT_AFTER {
+        if silent < PROBE_AFTER {
             return Verdict::Healthy;
         }
         if !self.reach.lost(self.now, after) {
-            return Verdict::Doubt;
+            return Verdict::Suspect;
         }
         // Proxies beside the primary share its side of a cut. When no majority of the
         // instances hears it, nothing that they write there could be acknowledged.
         if let Some(peer) = self.reaching().find(|h| !self.beside(h)) {
-            return Verdict::Forward(peer.view.proxy.clone());
+            return Verdict::Forward(peer.report.proxy.clone());
         }
         if self.unheard(after).len() >= self.spec.majority() {
             return Verdict::Replace(Cause::Unreachable);
         }
         match self.reaching().next() {
-            Some(peer) => Verdict::Forward(peer.view.proxy.clone()),
-            None => Verdict::Doubt,
+            Some(peer) => Verdict::Forward(peer.report.proxy.clone()),
+            None => Verdict::Suspect,
         }
     }
 
     /// Whether the peer runs in the primary's data centre.
-    fn beside(&self, heard: &Heard) -> bool {
+    fn beside(&self, heard: &ReceivedReport) -> bool {
         let primary = self.spec.members.get(self.primary);
-        primary.is_some_and(|m| m.location.data_centre == heard.view.location.data_centre)
+        primary.is_some_and(|m| m.location.data_centre == heard.report.location.data_centre)
     }
 
     /// Replicas that have not heard the primary for `after`, by their own recent word.
     fn unheard(&self, after: Span) -> Vec<(&InstanceId, Span)> {
-        let lost = |(id, o): &(&InstanceId, &Observed)| {
+        let lost = |(id, o): &(&InstanceId, &Observation)| {
             *id != self.primary
                 && o.status.role == Role::Replica
-                && self.now.since(o.asked) <= VIEW_AGE
-                && o.status.heard >= after
+                && self.now.since(o.queried_at) <= VIEW_AGE
+                && o.status.contact_age >= after
         };
         let seen = self.seen.iter().filter(lost);
-        seen.map(|(id, o)| (id, o.status.heard)).collect()
+        seen.map(|(id, o)| (id, o.status.contact_age)).collect()
     }
 
-    fn recent(&self) -> impl Iterator<Item = &Heard> {
-        let about = |h: &&Heard| h.view.primary.as_ref() == Some(self.primary);
-        let recent = |h: &&Heard| self.now.since(h.at) <= VIEW_AGE;
+    fn recent(&self) -> impl Iterator<Item = &ReceivedReport> {
+        let about = |h: &&ReceivedReport| h.report.primary.as_ref() == Some(self.primary);
+        let recent = |h: &&ReceivedReport| self.now.since(h.at) <= VIEW_AGE;
         self.peers.values().filter(about).filter(recent)
     }
 
-    fn reaching(&self) -> impl Iterator<Item = &Heard> {
-        self.recent().filter(|h| reaches(&h.view))
+    fn reaching(&self) -> impl Iterator<Item = &ReceivedReport> {
+        self.recent().filter(|h| reaches(&h.report))
     }
 
     /// The observations behind the verdict.
@@ -212,15 +212,15 @@
         let mut facts = vec![own];
         let unheard = self.unheard(self.patience());
         facts.extend(unheard.iter().map(|(i, s)| Fact::Unheard((*i).clone(), *s)));
-        facts.extend(self.recent().map(|h| match h.view.heard {
-            Some(age) if reaches(&h.view) => Fact::Reached(h.view.proxy.clone(), age),
-            _ => Fact::Unreached(h.view.proxy.clone()),
+        facts.extend(self.recent().map(|h| match h.report.contact_age {
+            Some(age) if reaches(&h.report) => Fact::Reached(h.report.proxy.clone(), age),
+            _ => Fact::Unreached(h.report.proxy.clone()),
         }));
         facts
     }
 }
 
 /// Whether the speaker reaches the primary: it has a recent answer and waits for none.
-fn reaches(view: &PeerReport) -> bool {
-    view.silent < DOUBT_AFTER && view.heard.is_some_and(|age| age < VIEW_AGE)
+fn reaches(report: &PeerReport) -> bool {
+    report.unresponsive_for < PROBE_AFTER && report.contact_age.is_some_and(|age| age < VIEW_AGE)
 }
--- a/crates/policy/src/freshness.rs
+++ b/crates/policy/src/freshness.rs
@@ -7,7 +7,7 @@
 use model::position::{Coverage, Point, Term};
 use model::unit::{Span, Time};
 
-use crate::status::{Observed, Status};
+use crate::status::{Observation, Status};
 
 /// Most proofs kept. With one every 20 ms they reach back over 5 s; older ones are
 /// thinned to one every [`SPACING`], so that ages of a minute can still be proven.
@@ -41,7 +41,7 @@
         &mut self,
         term: Term,
         primary: &InstanceId,
-        seen: &IndexMap<InstanceId, Observed>,
+        seen: &IndexMap<InstanceId, Observation>,
         majority: usize,
     ) {
         let Some(barrier) = draw(term, primary, seen, majority) else {
@@ -82,19 +82,23 @@
 fn draw(
     term: Term,
     primary: &InstanceId,
-    seen: &IndexMap<InstanceId, Observed>,
+    seen: &IndexMap<InstanceId, Observation>,
     majority: usize,
 ) -> Option<Barrier> {
     let lead = seen.get(primary)?;
     if !lead.status.leads() || lead.status.term() != term {
         return None;
     }
-    let unfenced = |o: &&Observed| o.status.fenced <= term;
-    let mut asked: Vec<_> = seen.values().filter(unfenced).map(|o| o.asked).collect();
+    let unfenced = |o: &&Observation| o.status.fenced <= term;
+    let mut asked: Vec<_> = seen
+        .values()
+        .filter(unfenced)
+        .map(|o| o.queried_at)
+        .collect();
     asked.sort_unstable_by(|a, b| b.cmp(a));
     let agreed = *asked.get(majority.checked_sub(1)?)?;
     Some(Barrier {
-        since: agreed.min(lead.asked),
+        since: agreed.min(lead.queried_at),
         point: lead.status.end(),
     })
 }
--- a/crates/policy/src/group.rs
+++ b/crates/policy/src/group.rs
@@ -16,19 +16,19 @@
 use rand::rngs::SmallRng;
 use rand::{Rng as _, SeedableRng as _};
 
-use crate::confirm::{self, Confirm};
-use crate::decision::{Decision, Fact, Phase, Ring, Trace, What};
-use crate::failure_detector::{Heard, Reach, Verdict};
+use crate::confirm::{self, Confirmations};
+use crate::decision::{Decision, DecisionLog, Fact, Phase, TraceId, What};
+use crate::failure_detector::{Reachability, ReceivedReport, Verdict};
 use crate::freshness::Freshness;
 use crate::message::{
-    Action, Ask, Channel, Event, Peer, PeerReport, Query, Recipients, StoreRequest, Ticket,
-    Versioned,
+    Action, Channel, Command, Event, Peer, PeerReport, QueryId, Recipients, RequestId,
+    StoreRequest, Versioned,
 };
 use crate::poll::{Kind, Open, Poll};
 use crate::promote::Attempt;
 use crate::read::Load;
-use crate::spec::{Me, Spec};
-use crate::status::Observed;
+use crate::spec::{LocalProxy, Spec};
+use crate::status::Observation;
 use waiting::Waiting;
 
 /// Span within which a step at most must follow the last one, so that retries and
@@ -37,7 +37,7 @@
 
 /// The newest primary that this proxy knows of.
 #[derive(Clone, Debug, Default)]
-pub struct Lead {
+pub struct Leadership {
     /// Its term; term 0 before any is known.
     pub term: Term,
     /// The primary.
@@ -49,7 +49,7 @@
 /// Stages of the newest change of primary, for the breakdown of its write gap.
 #[derive(Clone, Copy, Debug)]
 struct Change {
-    trace: Trace,
+    trace: TraceId,
     /// When the new primary was known to lead; taken by the first confirmed write.
     promoted: Option<Time>,
 }
@@ -57,26 +57,26 @@
 /// Controller of one group on one proxy.
 #[derive(Debug)]
 pub struct Group {
-    me: Me,
+    me: LocalProxy,
     spec: Spec,
     rng: SmallRng,
     started: Time,
     /// Time of the newest step; every step has a later one than those before, so that
     /// "asked since" and "asked before" can be told apart.
     now: Time,
-    lead: Lead,
+    leadership: Leadership,
     change: Change,
     /// The record in the store, as last heard.
     known: Option<Versioned>,
-    seen: IndexMap<InstanceId, Observed>,
-    reach: IndexMap<InstanceId, Reach>,
+    observations: IndexMap<InstanceId, Observation>,
+    reachability: IndexMap<InstanceId, Reachability>,
     polls: IndexMap<InstanceId, Poll>,
     loads: IndexMap<InstanceId, Load>,
     /// When each instance was last told to follow.
     followed: IndexMap<InstanceId, Time>,
     live: Vec<Peer>,
-    views: IndexMap<ProxyId, Heard>,
-    confirm: Confirm,
+    reports: IndexMap<ProxyId, ReceivedReport>,
+    confirmations: Confirmations,
     fresh: Freshness,
     waiting: Vec<Waiting>,
     attempt: Option<Attempt>,
@@ -91,35 +91,35 @@
     /// When a request last asked for a route.
     used: Option<Time>,
     told: Option<Time>,
-    reading: Option<(Query, Time)>,
+    reading: Option<(QueryId, Time)>,
     queries: u64,
-    ring: Ring,
+    ring: DecisionLog,
     out: Vec<Action>,
 }
 
 impl Group {
     /// A controller that knows nothing of the group's state yet.
-    pub fn new(now: Time, me: Me, spec: Spec, seed: u64) -> Self {
+    pub fn new(now: Time, me: LocalProxy, spec: Spec, seed: u64) -> Self {
         Self {
             me,
             spec,
             rng: SmallRng::seed_from_u64(seed),
             started: now,
             now,
-            lead: Lead::default(),
+            leadership: Leadership::default(),
             change: Change {
-                trace: Trace::default(),
+                trace: TraceId::default(),
                 promoted: None,
             },
             known: None,
-            seen: IndexMap::new(),
-            reach: IndexMap::new(),
+            observations: IndexMap::new(),
+            reachability: IndexMap::new(),
             polls: IndexMap::new(),
             loads: IndexMap::new(),
             followed: IndexMap::new(),
             live: Vec::new(),
-            views: IndexMap::new(),
-            confirm: Confirm::default(),
+            reports: IndexMap::new(),
+            confirmations: Confirmations::default(),
             fresh: Freshness::default(),
             waiting: Vec::new(),
             attempt: None,
@@ -132,7 +132,7 @@
             told: None,
             reading: None,
             queries: 0,
-            ring: Ring::default(),
+            ring: DecisionLog::default(),
             out: Vec::new(),
         }
     }
@@ -146,8 +146,8 @@
     }
 
     /// The newest known primary.
-    pub fn lead(&self) -> &Lead {
-        &self.lead
+    pub fn leadership(&self) -> &Leadership {
+        &self.leadership
     }
 
     /// The attempt of this proxy to replace the primary, while there is one.
@@ -161,8 +161,8 @@
     }
 
     /// The newest observation of each instance.
-    pub fn seen(&self) -> &IndexMap<InstanceId, Observed> {
-        &self.seen
+    pub fn observations(&self) -> &IndexMap<InstanceId, Observation> {
+        &self.observations
     }
 
     fn take(&mut self, event: Event) {
@@ -170,25 +170,25 @@
             Event::Tick => {}
             Event::Configure(spec) => self.configure(*spec),
             Event::Peers(live) => self.live = live,
-            Event::Peer(view) => self.take_view(view),
-            Event::Answer { query, result } => self.take_answer(query, result),
-            Event::Store { query, answer } => self.take_store(query, answer),
+            Event::PeerReport(report) => self.take_report(report),
+            Event::Response { query, result } => self.take_response(query, result),
+            Event::Store { query, reply } => self.take_store_reply(query, reply),
             Event::Record(versioned) => self.take_record(versioned),
             Event::RouteWrite {
-                ticket,
+                request,
                 point,
                 deadline,
-            } => self.enqueue(Waiting::write(ticket, point, self.now, deadline)),
+            } => self.enqueue(Waiting::write(request, point, self.now, deadline)),
             Event::RouteRead {
-                ticket,
+                request,
                 need,
                 deadline,
-            } => self.enqueue(Waiting::read(ticket, need, self.now, deadline)),
+            } => self.enqueue(Waiting::read(request, need, self.now, deadline)),
             Event::Confirm {
-                ticket,
+                request,
                 point,
                 deadline,
-            } => self.take_confirm(ticket, point, deadline),
+            } => self.take_confirm(request, point, deadline),
             Event::Finished { instance, took } => {
                 self.loads.entry(instance).or_default().finish(took);
             }
@@ -200,31 +200,33 @@
     }
 
     fn configure(&mut self, spec: Spec) {
-        self.seen.retain(|id, _| spec.members.contains_key(id));
-        self.reach.retain(|id, _| spec.members.contains_key(id));
+        self.observations
+            .retain(|id, _| spec.members.contains_key(id));
+        self.reachability
+            .retain(|id, _| spec.members.contains_key(id));
         self.polls.retain(|id, _| spec.members.contains_key(id));
         self.spec = spec;
     }
 
-    fn take_confirm(&mut self, ticket: Ticket, point: model::position::Point, deadline: Time) {
-        let Some(primary) = self.lead.primary.clone() else {
+    fn take_confirm(&mut self, request: RequestId, point: model::position::Point, deadline: Time) {
+        let Some(primary) = self.leadership.primary.clone() else {
             let result = Err(crate::route::Unconfirmed::Replaced);
-            self.out.push(Action::Confirmed { ticket, result });
+            self.out.push(Action::Confirmed { request, result });
             return;
         };
-        let added = self.confirm.add(ticket, point, &primary, deadline);
+        let added = self.confirmations.add(request, point, &primary, deadline);
         if let Err(e) = added {
             let result = Err(e);
-            self.out.push(Action::Confirmed { ticket, result });
+            self.out.push(Action::Confirmed { request, result });
         }
     }
 
     fn emit_confirmed(&mut self, outcomes: Vec<confirm::Outcome>) {
-        for (ticket, result) in outcomes {
+        for (request, result) in outcomes {
             if result.is_ok() {
                 self.note_first_ack();
             }
-            self.out.push(Action::Confirmed { ticket, result });
+            self.out.push(Action::Confirmed { request, result });
         }
     }
 
@@ -240,7 +242,7 @@
     fn decide(
         &mut self,
         what: What,
-        trace: Trace,
+        trace: TraceId,
         phase: Option<(Phase, Span)>,
         evidence: Vec<Fact>,
         ruled_out: Vec<Fact>,
@@ -249,7 +251,7 @@
         let decision = Decision {
             at: self.now,
             group: self.spec.group.clone(),
-            term: attempt.unwrap_or(self.lead.term),
+            term: attempt.unwrap_or(self.leadership.term),
             trace,
             what,
             phase,
@@ -262,11 +264,11 @@
 
     /// Makes a newer primary the one to route to.
     fn learn(&mut self, term: Term, primary: &InstanceId) {
-        let known = self.lead.term == term && self.lead.primary.is_some();
-        if term < self.lead.term || known {
+        let known = self.leadership.term == term && self.leadership.primary.is_some();
+        if term < self.leadership.term || known {
             return;
         }
-        self.lead = Lead {
+        self.leadership = Leadership {
             term,
             primary: Some(primary.clone()),
             since: self.now,
@@ -275,13 +277,13 @@
         self.verdict_since = self.now;
         self.deposed = None;
         self.followed.clear();
-        let reach = self.reach.entry(primary.clone()).or_default();
+        let reach = self.reachability.entry(primary.clone()).or_default();
         (reach.fresh, reach.refused) = (None, 0);
         self.change.promoted = Some(self.now);
-        let outcomes = self.confirm.begin(term);
+        let outcomes = self.confirmations.begin(term);
         self.emit_confirmed(outcomes);
-        for (id, seen) in &self.seen {
-            self.confirm.observe(id, &seen.status);
+        for (id, seen) in &self.observations {
+            self.confirmations.observe(id, &seen.status);
         }
         let superseded = |a: &Attempt| a.record.term < term || !a.claimed();
         if self.attempt.as_ref().is_some_and(superseded) {
@@ -298,23 +300,23 @@
         self.rng.random()
     }
 
-    fn query(&mut self) -> Query {
+    fn query(&mut self) -> QueryId {
         self.queries += 1;
-        Query(self.queries)
+        QueryId(self.queries)
     }
 
-    fn ask(&mut self, instance: &InstanceId, ask: Ask, channel: Channel) {
+    fn send(&mut self, instance: &InstanceId, command: Command, channel: Channel) {
         let query = self.query();
-        let reach = self.reach.entry(instance.clone()).or_default();
-        let kind = match &ask {
-            Ask::Status => Kind::Status,
-            Ask::Wait { position, .. } => Kind::Wait(*position),
-            Ask::Fence(_) | Ask::Promote(_) | Ask::Follow { .. } => Kind::Order,
+        let reach = self.reachability.entry(instance.clone()).or_default();
+        let kind = match &command {
+            Command::Status => Kind::Status,
+            Command::Wait { position, .. } => Kind::Wait(*position),
+            Command::Fence(_) | Command::Promote(_) | Command::Follow { .. } => Kind::Order,
         };
         match channel {
             Channel::Fresh => reach.ask_fresh(self.now),
-            Channel::Steady if kind == Kind::Status => reach.ask(self.now),
-            Channel::Steady => {}
+            Channel::Persistent if kind == Kind::Status => reach.ask(self.now),
+            Channel::Persistent => {}
         }
         let open = Open {
             query,
@@ -322,33 +324,37 @@
             kind,
         };
         self.polls.entry(instance.clone()).or_default().sent(open);
-        self.out.push(Action::Ask {
+        self.out.push(Action::Command {
             query,
             instance: instance.clone(),
-            ask,
+            command,
             channel,
         });
     }
 
-    fn ask_store(&mut self, ask: StoreRequest) -> Query {
+    fn query_store(&mut self, request: StoreRequest) -> QueryId {
         let query = self.query();
-        self.out.push(Action::Store { query, ask });
+        self.out.push(Action::Store { query, request });
         query
     }
 
-    fn tell(&mut self, to: Recipients, asks: bool) {
-        let reach = self.lead.primary.as_ref().and_then(|p| self.reach.get(p));
+    fn send_report(&mut self, to: Recipients, wants_reply: bool) {
+        let reach = self
+            .leadership
+            .primary
+            .as_ref()
+            .and_then(|p| self.reachability.get(p));
         let reach = reach.copied().unwrap_or_default();
-        let view = PeerReport {
+        let report = PeerReport {
             group: self.spec.group.clone(),
             proxy: self.me.id.clone(),
             location: self.me.location.clone(),
-            term: self.lead.term,
-            primary: self.lead.primary.clone(),
-            heard: reach.age(self.now),
-            silent: reach.silent(self.now),
-            asks,
+            term: self.leadership.term,
+            primary: self.leadership.primary.clone(),
+            contact_age: reach.age(self.now),
+            unresponsive_for: reach.silent(self.now),
+            wants_reply,
         };
-        self.out.push(Action::Tell { to, view });
+        self.out.push(Action::Send { to, report });
     }
 }
--- a/crates/policy/src/group/answer.rs
+++ b/crates/policy/src/group/answer.rs
@@ -5,27 +5,27 @@
 
 use super::Group;
 use crate::decision::{Fact, Phase, What};
-use crate::failure_detector::Heard;
-use crate::message::{PeerReport, Query, Recipients, StoreReply, Versioned};
+use crate::failure_detector::ReceivedReport;
+use crate::message::{PeerReport, QueryId, Recipients, StoreReply, Versioned};
 use crate::promote::{Choice, Progress};
 use crate::route::Failure;
-use crate::status::{Observed, Status};
+use crate::status::{Observation, Status};
 
 impl Group {
-    pub(super) fn take_answer(&mut self, query: Query, result: Result<Status, Failure>) {
+    pub(super) fn take_response(&mut self, query: QueryId, result: Result<Status, Failure>) {
         let mut polls = self.polls.iter_mut();
         let found = polls.find_map(|(id, p)| Some((id.clone(), p.answered(query)?)));
         let Some((instance, open)) = found else {
             return;
         };
-        let reach = self.reach.entry(instance.clone()).or_default();
+        let reach = self.reachability.entry(instance.clone()).or_default();
         match result {
             Ok(status) => {
                 reach.answer(self.now);
-                let seen = Observed {
+                let seen = Observation {
                     status,
-                    asked: open.asked,
-                    seen: self.now,
+                    queried_at: open.asked,
+                    received_at: self.now,
                 };
                 self.observe(&instance, seen);
             }
@@ -36,25 +36,25 @@
         }
     }
 
-    fn observe(&mut self, instance: &InstanceId, seen: Observed) {
+    fn observe(&mut self, instance: &InstanceId, seen: Observation) {
         let status = seen.status.clone();
         if status.leads() {
             self.learn(status.term(), instance);
         }
-        self.confirm.observe(instance, &status);
+        self.confirmations.observe(instance, &status);
         // Answers overtake each other on different connections; only a question that was
         // sent later may replace what is known.
         let newer = self
-            .seen
+            .observations
             .get(instance)
-            .is_none_or(|o| seen.asked >= o.asked);
+            .is_none_or(|o| seen.queried_at >= o.queried_at);
         if newer {
-            self.seen.insert(instance.clone(), seen);
+            self.observations.insert(instance.clone(), seen);
         }
-        if let Some(primary) = &self.lead.primary {
+        if let Some(primary) = &self.leadership.primary {
             let majority = self.spec.majority();
             self.fresh
-                .observe(self.lead.term, primary, &self.seen, majority);
+                .observe(self.leadership.term, primary, &self.observations, majority);
         }
         let now = self.now;
         let spec = &self.spec;
@@ -63,17 +63,17 @@
         self.progress(progress);
     }
 
-    pub(super) fn take_store(&mut self, query: Query, answer: StoreReply) {
+    pub(super) fn take_store_reply(&mut self, query: QueryId, reply: StoreReply) {
         if self.reading.is_some_and(|(q, _)| q == query) {
             self.reading = None;
-            if let StoreReply::Found(found) = answer {
+            if let StoreReply::Found(found) = reply {
                 self.take_record(found);
             }
             return;
         }
         let now = self.now;
         let attempt = self.attempt.as_mut();
-        let progress = attempt.and_then(|a| a.store(now, query, answer));
+        let progress = attempt.and_then(|a| a.take_store_reply(now, query, reply));
         self.progress(progress);
     }
 
@@ -101,16 +101,17 @@
         }
     }
 
-    pub(super) fn take_view(&mut self, view: PeerReport) {
-        if let Some(primary) = &view.primary {
-            self.learn(view.term, primary);
+    pub(super) fn take_report(&mut self, report: PeerReport) {
+        if let Some(primary) = &report.primary {
+            self.learn(report.term, primary);
         }
-        let behind = view.term < self.lead.term;
-        if view.asks || behind {
-            self.tell(Recipients::One(view.proxy.clone()), false);
+        let behind = report.term < self.leadership.term;
+        if report.wants_reply || behind {
+            self.send_report(Recipients::One(report.proxy.clone()), false);
         }
         let at = self.now;
-        self.views.insert(view.proxy.clone(), Heard { view, at });
+        self.reports
+            .insert(report.proxy.clone(), ReceivedReport { report, at });
     }
 
     /// Follows up on what became of the attempt's step.
@@ -135,14 +136,14 @@
                 );
                 self.change.trace = trace;
                 // The status that shows it led to `learn` already.
-                self.tell(Recipients::All, false);
+                self.send_report(Recipients::All, false);
             }
             Progress::Published(primary, versioned) => {
                 self.ended(Phase::Publish, What::Published(primary), vec![], vec![]);
                 self.attempt = None;
                 self.take_record(versioned);
             }
-            Progress::Outrun(found) => self.outrun(found),
+            Progress::Superseded(found) => self.superseded(found),
             Progress::Fenced(instance, term) => {
                 let fact = vec![Fact::Fenced(instance, term)];
                 self.decide(What::Abandoned, trace, None, fact, vec![]);
@@ -171,11 +172,11 @@
     /// The record was newer than the claim's basis. When it only tells of a promotion that
     /// is over, the next claim goes on top of it at once; when another claimant is at
     /// work, it gets the time to finish.
-    fn outrun(&mut self, found: Versioned) {
+    fn superseded(&mut self, found: Versioned) {
         let attempt = self.attempt.take();
         let record = found.record.clone();
         let finished =
-            |r: &crate::leadership::Record| r.primary.is_some() && r.term <= self.lead.term;
+            |r: &crate::leadership::Record| r.primary.is_some() && r.term <= self.leadership.term;
         let own = |r: &crate::leadership::Record| r.claimant == self.me.id;
         let over = record.as_ref().is_none_or(|r| finished(r) || own(r));
         if let (false, Some(record), Some(attempt)) = (over, &record, attempt) {
--- a/crates/policy/src/group/drive.rs
+++ b/crates/policy/src/group/drive.rs
@@ -6,10 +6,10 @@
 
 use super::Group;
 use crate::decision::{Cause, Fact, Phase, What};
-use crate::failure_detector::{Verdict, View};
-use crate::message::{Ask, Channel, Peer, Recipients, StoreRequest};
+use crate::failure_detector::{PrimaryView, Verdict};
+use crate::message::{Channel, Command, Peer, Recipients, StoreRequest};
 use crate::poll::{self, Due};
-use crate::promote::{Attempt, Order};
+use crate::promote::{Attempt, Request};
 use crate::rank;
 
 /// Head start of each proxy over the next one in rank. It covers claim and fence over
@@ -61,29 +61,29 @@
         if self.reading.is_some_and(|(_, at)| open(at)) {
             return;
         }
-        let query = self.ask_store(StoreRequest::Read);
+        let query = self.query_store(StoreRequest::Read);
         self.reading = Some((query, self.now));
     }
 
-    fn view<'a>(&'a self, primary: &'a InstanceId) -> View<'a> {
-        View {
+    fn primary_view<'a>(&'a self, primary: &'a InstanceId) -> PrimaryView<'a> {
+        PrimaryView {
             now: self.now,
             spec: &self.spec,
             primary,
-            since: self.lead.since,
-            reach: self.reach.get(primary).copied().unwrap_or_default(),
-            seen: &self.seen,
-            peers: &self.views,
+            since: self.leadership.since,
+            reach: self.reachability.get(primary).copied().unwrap_or_default(),
+            seen: &self.observations,
+            peers: &self.reports,
         }
     }
 
     fn judge(&mut self) {
         self.judge_deposed();
-        let Some(primary) = self.lead.primary.clone() else {
+        let Some(primary) = self.leadership.primary.clone() else {
             return;
         };
         let leaving = self.spec.members.get(&primary).is_none_or(|m| m.leaving);
-        let view = self.view(&primary);
+        let view = self.primary_view(&primary);
         let verdict = match view.judge() {
             Verdict::Healthy if leaving => Verdict::Replace(Cause::Leaving),
             verdict => verdict,
@@ -99,7 +99,7 @@
         let told = self.told.is_some_and(|at| self.now.since(at) < poll::DOUBT);
         if doubt && !told {
             self.told = Some(self.now);
-            self.tell(Recipients::All, true);
+            self.send_report(Recipients::All, true);
         }
     }
 
@@ -107,15 +107,15 @@
         let trace = self.change.trace;
         let what = match &verdict {
             Verdict::Healthy => What::Cleared(primary.clone()),
-            Verdict::Doubt => What::Suspected(primary.clone()),
+            Verdict::Suspect => What::Suspected(primary.clone()),
             Verdict::Forward(peer) => What::Forward(peer.clone()),
             Verdict::Replace(cause) => What::Replace(primary.clone(), *cause),
         };
         let phase = matches!(verdict, Verdict::Replace(_)).then(|| {
-            let reach = self.reach.get(primary).copied().unwrap_or_default();
+            let reach = self.reachability.get(primary).copied().unwrap_or_default();
             (Phase::Detect, reach.silent(self.now))
         });
-        let doubt = verdict == Verdict::Doubt;
+        let doubt = verdict == Verdict::Suspect;
         self.verdict = verdict;
         self.verdict_since = self.now;
         if doubt && self.rank() < PREPARING {
@@ -130,7 +130,7 @@
         let others = self.spec.members.keys().filter(|id| *id != primary);
         let others: Vec<_> = others.cloned().collect();
         for other in others {
-            self.ask(&other, Ask::Status, Channel::Fresh);
+            self.send(&other, Command::Status, Channel::Fresh);
         }
     }
 
@@ -138,10 +138,10 @@
     /// carried out, or was left half done.
     fn judge_deposed(&mut self) {
         let later = |id: &InstanceId| {
-            let seen = self.seen.get(id);
-            seen.is_some_and(|o| o.status.fenced > self.lead.term)
+            let seen = self.observations.get(id);
+            seen.is_some_and(|o| o.status.fenced > self.leadership.term)
         };
-        let primary = self.lead.primary.as_ref().is_some_and(later);
+        let primary = self.leadership.primary.as_ref().is_some_and(later);
         let count = self.spec.members.keys().filter(|id| later(id)).count();
         if primary || count >= self.spec.majority() {
             self.deposed.get_or_insert(self.now);
@@ -155,7 +155,7 @@
             id: self.me.id.clone(),
             location: self.me.location.clone(),
         };
-        let primary = self.lead.primary.as_ref();
+        let primary = self.leadership.primary.as_ref();
         let member = primary.and_then(|p| self.spec.members.get(p));
         let beside = member.map(|m| &m.location.data_centre);
         rank::rank(&self.spec.group, &me, &self.live, beside)
@@ -188,7 +188,7 @@
         let now = self.now;
         let progress = self.attempt.as_ref().and_then(|a| a.timed_out(now));
         self.progress(progress);
-        self.send_orders();
+        self.send_requests();
     }
 
     fn begin_attempt(&mut self, cause: Cause) {
@@ -218,10 +218,10 @@
     /// Highest term that was heard of anywhere.
     fn floor(&self) -> Term {
         let seen = self
-            .seen
+            .observations
             .values()
             .map(|o| o.status.fenced.max(o.status.term()));
-        seen.max().unwrap_or_default().max(self.lead.term)
+        seen.max().unwrap_or_default().max(self.leadership.term)
     }
 
     pub(super) fn give_way(&mut self) {
@@ -229,18 +229,18 @@
         self.yielding = self.now + TAKE_OVER + Span::from_micros(jitter);
     }
 
-    fn send_orders(&mut self) {
+    fn send_requests(&mut self) {
         let now = self.now;
         let Some(attempt) = self.attempt.as_mut() else {
             return;
         };
-        for order in attempt.orders(now, &self.spec) {
-            match order {
-                Order::Ask(instance, ask) => self.ask(&instance, ask, Channel::Fresh),
-                Order::Store(ask) => {
-                    let query = self.ask_store(ask);
+        for request in attempt.requests(now, &self.spec) {
+            match request {
+                Request::Instance(id, command) => self.send(&id, command, Channel::Fresh),
+                Request::Store(request) => {
+                    let query = self.query_store(request);
                     if let Some(attempt) = self.attempt.as_mut() {
-                        attempt.note_store(now, query);
+                        attempt.store_queried(now, query);
                     }
                 }
             }
@@ -267,8 +267,8 @@
             };
             match due {
                 Due::Nothing => {}
-                Due::Steady => self.ask(&member, Ask::Status, Channel::Steady),
-                Due::Fresh => self.ask(&member, Ask::Status, Channel::Fresh),
+                Due::Steady => self.send(&member, Command::Status, Channel::Persistent),
+                Due::Fresh => self.send(&member, Command::Status, Channel::Fresh),
             }
         }
     }
@@ -276,12 +276,14 @@
     fn settle(&mut self) {
         let weak = self.spec.settings.acknowledge == model::settings::Acknowledge::Primary;
         let majority = if weak { 1 } else { self.spec.majority() };
-        let outcomes = self.confirm.settle(self.now, majority);
+        let outcomes = self.confirmations.settle(self.now, majority);
         self.emit_confirmed(outcomes);
         let members: Vec<_> = self.spec.members.keys().cloned().collect();
         for member in members {
             let after = self.polls.get(&member).map(|p| p.waited());
-            let wanted = self.confirm.wanted(&member, after.unwrap_or_default());
+            let wanted = self
+                .confirmations
+                .wanted(&member, after.unwrap_or_default());
             if let Some(position) = wanted {
                 self.wait_for(&member, position);
             }
@@ -289,10 +291,10 @@
     }
 
     fn wait_for(&mut self, member: &InstanceId, position: Position) {
-        let ask = Ask::Wait {
+        let command = Command::Wait {
             position,
             timeout: WAIT,
         };
-        self.ask(member, ask, Channel::Steady);
+        self.send(member, command, Channel::Persistent);
     }
 }
--- a/crates/policy/src/group/repair.rs
+++ b/crates/policy/src/group/repair.rs
@@ -7,8 +7,8 @@
 use super::Group;
 use crate::decision::What;
 use crate::failure_detector::Verdict;
-use crate::message::{Ask, Channel};
-use crate::status::{Observed, Role, Status};
+use crate::message::{Channel, Command};
+use crate::status::{Observation, Role, Status};
 
 /// Interval at which an instance is told again to follow; a rebuild may take longer, and
 /// the order is repeated without harm.
@@ -24,7 +24,7 @@
     /// An old primary that returns still believes that it leads: it is fenced and made to
     /// follow by one order. Replicas that were out of reach are brought in alike.
     pub(super) fn repair(&mut self) {
-        let Some(primary) = self.lead.primary.clone() else {
+        let Some(primary) = self.leadership.primary.clone() else {
             return;
         };
         if self.verdict != Verdict::Healthy || self.deposed.is_some() {
@@ -32,10 +32,10 @@
         }
         let turn = STAGGER.times(self.rank());
         let promoter = self.attempt.is_some();
-        if !promoter && self.now.since(self.lead.since) < turn {
+        if !promoter && self.now.since(self.leadership.since) < turn {
             return;
         }
-        let strays = self.seen.iter();
+        let strays = self.observations.iter();
         let strays = strays.filter(|(id, o)| **id != primary && self.astray(id, o));
         let strays: Vec<_> = strays
             .map(|(id, o)| (id.clone(), o.status.clone()))
@@ -45,14 +45,14 @@
         }
     }
 
-    fn astray(&self, id: &InstanceId, seen: &Observed) -> bool {
+    fn astray(&self, id: &InstanceId, seen: &Observation) -> bool {
         let status = &seen.status;
         // A later promise is another claimant's business.
-        if status.fenced > self.lead.term {
+        if status.fenced > self.leadership.term {
             return false;
         }
-        let behind = status.fenced < self.lead.term || status.term() < self.lead.term;
-        let unheard = status.heard >= UNHEARD;
+        let behind = status.fenced < self.leadership.term || status.term() < self.leadership.term;
+        let unheard = status.contact_age >= UNHEARD;
         let astray = status.role == Role::Primary || behind || unheard;
         let last = self.followed.get(id);
         astray && last.is_none_or(|at| self.now.since(*at) >= FOLLOW_AGAIN)
@@ -73,16 +73,16 @@
         if first {
             self.decide(What::Follow(id.clone()), trace, None, vec![], vec![]);
         }
-        let order = Ask::Follow {
-            term: self.lead.term,
+        let command = Command::Follow {
+            term: self.leadership.term,
             primary: primary.clone(),
         };
-        self.ask(id, order, Channel::Fresh);
+        self.send(id, command, Channel::Fresh);
     }
 
     /// Last position that a log shares with the primary's, if it goes on beyond.
     fn shared(&self, status: &Status) -> Option<Position> {
-        let primary = self.seen.get(self.lead.primary.as_ref()?)?;
+        let primary = self.observations.get(self.leadership.primary.as_ref()?)?;
         let later = |term: Term| {
             let starts = primary.status.history.starts().iter();
             starts
--- a/crates/policy/src/group/waiting.rs
+++ b/crates/policy/src/group/waiting.rs
@@ -10,8 +10,8 @@
 use model::unit::{Span, Time};
 
 use super::Group;
-use crate::failure_detector::{DOUBT_AFTER, Verdict};
-use crate::message::{Action, Ticket};
+use crate::failure_detector::{PROBE_AFTER, Verdict};
+use crate::message::{Action, RequestId};
 use crate::read::{Choice, Pick};
 use crate::route::{Failure, ReadNeed, Refusal, Target};
 use crate::status::Role;
@@ -38,25 +38,30 @@
 /// A request without a route so far.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Waiting {
-    ticket: Ticket,
+    request: RequestId,
     want: Want,
     arrived: Time,
     deadline: Time,
 }
 
 impl Waiting {
-    pub(super) fn write(ticket: Ticket, point: Option<Point>, now: Time, deadline: Time) -> Self {
+    pub(super) fn write(
+        request: RequestId,
+        point: Option<Point>,
+        now: Time,
+        deadline: Time,
+    ) -> Self {
         Self {
-            ticket,
+            request,
             want: Want::Write(point),
             arrived: now,
             deadline,
         }
     }
 
-    pub(super) fn read(ticket: Ticket, need: ReadNeed, now: Time, deadline: Time) -> Self {
+    pub(super) fn read(request: RequestId, need: ReadNeed, now: Time, deadline: Time) -> Self {
         Self {
-            ticket,
+            request,
             want: Want::Read(need),
             arrived: now,
             deadline,
@@ -69,8 +74,8 @@
         self.used = Some(self.now);
         if self.waiting.len() >= self.spec.settings.queue as usize {
             let result = Err(Refusal::Crowded { retry: RETRY });
-            let ticket = waiting.ticket;
-            self.out.push(Action::Routed { ticket, result });
+            let request = waiting.request;
+            self.out.push(Action::Routed { request, result });
             return;
         }
         self.waiting.push(waiting);
@@ -85,8 +90,8 @@
                         let load = self.loads.entry(target.instance.clone()).or_default();
                         load.outstanding += 1;
                     }
-                    let ticket = waiting.ticket;
-                    self.out.push(Action::Routed { ticket, result });
+                    let request = waiting.request;
+                    self.out.push(Action::Routed { request, result });
                 }
             }
         }
@@ -112,7 +117,7 @@
         if self.hopeless() {
             return Some(Err(Refusal::NoMajority { retry: RETRY }));
         }
-        if point.is_some_and(|p| p.term > self.lead.term) {
+        if point.is_some_and(|p| p.term > self.leadership.term) {
             return None;
         }
         let primary = self.serving()?;
@@ -127,9 +132,9 @@
 
     /// The primary, unless it is in doubt, or something has promised a later term.
     fn serving(&self) -> Option<&InstanceId> {
-        let primary = self.lead.primary.as_ref()?;
-        let reach = self.reach.get(primary).copied().unwrap_or_default();
-        let answers = reach.silent(self.now) < DOUBT_AFTER;
+        let primary = self.leadership.primary.as_ref()?;
+        let reach = self.reachability.get(primary).copied().unwrap_or_default();
+        let answers = reach.silent(self.now) < PROBE_AFTER;
         let forward = matches!(self.verdict, Verdict::Forward(_));
         (self.deposed.is_none() && (answers || forward)).then_some(primary)
     }
@@ -141,7 +146,7 @@
             return false;
         }
         let lost = |id| {
-            let reach = self.reach.get(id).copied().unwrap_or_default();
+            let reach = self.reachability.get(id).copied().unwrap_or_default();
             reach.answered.is_none() || reach.silent(self.now) >= OUT_OF_REACH
         };
         let lost = self.spec.members.keys().filter(|id| lost(*id)).count();
@@ -151,19 +156,23 @@
     fn serve_read(&self, need: ReadNeed, arrived: Time) -> Option<Result<Target, Refusal>> {
         // An instance that does not answer holds up a read for longer than any queue.
         let answers = |id: &InstanceId| {
-            let reach = self.reach.get(id).copied().unwrap_or_default();
-            reach.silent(self.now) < DOUBT_AFTER
+            let reach = self.reachability.get(id).copied().unwrap_or_default();
+            reach.silent(self.now) < PROBE_AFTER
         };
-        let seen = self.seen.iter().filter(|(id, _)| answers(id)).collect();
+        let seen = self
+            .observations
+            .iter()
+            .filter(|(id, _)| answers(id))
+            .collect();
         let choice = Choice {
             now: self.now,
             arrived,
             need,
             here: &self.me.location,
             spec: &self.spec,
-            term: self.lead.term,
+            term: self.leadership.term,
             primary: self
-                .lead
+                .leadership
                 .primary
                 .as_ref()
                 .filter(|_| self.deposed.is_none()),
@@ -182,13 +191,13 @@
 
     fn target(&self, instance: &InstanceId, point: Point) -> Option<Target> {
         let member = self.spec.members.get(instance)?;
-        let leads = self.lead.primary.as_ref() == Some(instance);
+        let leads = self.leadership.primary.as_ref() == Some(instance);
         Some(Target {
             instance: instance.clone(),
             address: member.address,
             location: member.location.clone(),
             role: if leads { Role::Primary } else { Role::Replica },
-            term: self.lead.term,
+            term: self.leadership.term,
             via: None,
             point,
         })
@@ -198,7 +207,7 @@
     /// once, and one round of questions serves every read that arrived before it.
     pub(super) fn wants_news(&self) -> Option<Time> {
         let unproven = |w: &&Waiting| match w.want {
-            Want::Write(point) => point.is_some_and(|p| p.term > self.lead.term),
+            Want::Write(point) => point.is_some_and(|p| p.term > self.leadership.term),
             Want::Read(_) => true,
         };
         let waiting = self.waiting.iter().filter(unproven);
--- a/crates/policy/src/message.rs
+++ b/crates/policy/src/message.rs
@@ -13,15 +13,15 @@
 
 /// Names a request of a caller until it is answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Ticket(pub u64);
+pub struct RequestId(pub u64);
 
 /// Names a question to an instance or to the store until it is answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Query(pub u64);
+pub struct QueryId(pub u64);
 
 /// A question or order to an instance; the answer is its status row.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Ask {
+pub enum Command {
     /// Its status at once.
     Status,
     /// Its status once it holds the position, or after the time.
@@ -48,7 +48,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Channel {
     /// The long-lived one, behind earlier questions.
-    Steady,
+    Persistent,
     /// A new one: an answer proves that the server accepts connections now. Orders also
     /// go this way, so that they never queue behind a waiting question.
     Fresh,
@@ -103,11 +103,14 @@
     /// The primary of that term.
     pub primary: Option<InstanceId>,
     /// Time since the primary last answered it; `None` when it never did.
-    pub heard: Option<Span>,
+    #[serde(rename = "heard")]
+    pub contact_age: Option<Span>,
     /// Time for which its questions to the primary have gone without an answer.
-    pub silent: Span,
+    #[serde(rename = "silent")]
+    pub unresponsive_for: Span,
     /// Whether it doubts the primary and wants the receiver's view in return.
-    pub asks: bool,
+    #[serde(rename = "asks")]
+    pub wants_reply: bool,
 }
 
 /// A live proxy, as membership reports it.
@@ -129,27 +132,27 @@
     /// The live proxies, this one included or not.
     Peers(Vec<Peer>),
     /// Another proxy's view.
-    Peer(PeerReport),
+    PeerReport(PeerReport),
     /// An instance answered, or failed to.
-    Answer {
+    Response {
         /// Question that was asked.
-        query: Query,
+        query: QueryId,
         /// Status row, or how the connection failed.
         result: Result<Status, Failure>,
     },
     /// The store answered.
     Store {
         /// Request that was made.
-        query: Query,
+        query: QueryId,
         /// Its outcome.
-        answer: StoreReply,
+        reply: StoreReply,
     },
     /// News of the record from a watch or a peer.
     Record(Versioned),
     /// A request wants the primary.
     RouteWrite {
         /// The request.
-        ticket: Ticket,
+        request: RequestId,
         /// Newest point of its session.
         point: Option<Point>,
         /// When the answer is worthless.
@@ -158,7 +161,7 @@
     /// A request wants to read.
     RouteRead {
         /// The request.
-        ticket: Ticket,
+        request: RequestId,
         /// What it must see.
         need: ReadNeed,
         /// When the answer is worthless.
@@ -167,7 +170,7 @@
     /// A write ran; may it be acknowledged?
     Confirm {
         /// The request.
-        ticket: Ticket,
+        request: RequestId,
         /// End of the write, under the term that it was routed to.
         point: Point,
         /// When the answer is worthless.
@@ -207,41 +210,41 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Put a question to an instance.
-    Ask {
+    Command {
         /// Names the answer.
-        query: Query,
+        query: QueryId,
         /// Whom to ask.
         instance: InstanceId,
         /// What to ask.
-        ask: Ask,
+        command: Command,
         /// On which connection.
         channel: Channel,
     },
     /// Put a request to the store.
     Store {
         /// Names the answer.
-        query: Query,
+        query: QueryId,
         /// What to ask.
-        ask: StoreRequest,
+        request: StoreRequest,
     },
     /// Tell other proxies.
-    Tell {
+    Send {
         /// Whom.
         to: Recipients,
         /// What.
-        view: PeerReport,
+        report: PeerReport,
     },
     /// Answer a routed request.
     Routed {
         /// The request.
-        ticket: Ticket,
+        request: RequestId,
         /// Its route.
         result: Result<Target, Refusal>,
     },
     /// Answer a request for confirmation.
     Confirmed {
         /// The request.
-        ticket: Ticket,
+        request: RequestId,
         /// Whether it may be acknowledged.
         result: Result<(), Unconfirmed>,
     },
--- a/crates/policy/src/node.rs
+++ b/crates/policy/src/node.rs
@@ -9,7 +9,7 @@
 
 use crate::group::Group;
 use crate::message::{Action, Event, Peer};
-use crate::spec::{Me, Spec};
+use crate::spec::{LocalProxy, Spec};
 
 /// An input of the node.
 #[derive(Clone, Debug)]
@@ -36,7 +36,7 @@
 /// Every controller of one proxy.
 #[derive(Debug)]
 pub struct Node {
-    me: Me,
+    me: LocalProxy,
     seed: u64,
     groups: IndexMap<GroupId, Group>,
     live: Vec<Peer>,
@@ -44,7 +44,7 @@
 
 impl Node {
     /// A node without groups; `seed` is the only source of randomness.
-    pub fn new(me: Me, seed: u64) -> Self {
+    pub fn new(me: LocalProxy, seed: u64) -> Self {
         Self {
             me,
             seed,
--- a/crates/policy/src/poll.rs
+++ b/crates/policy/src/poll.rs
@@ -3,8 +3,8 @@
 use model::position::Position;
 use model::unit::{Span, Time};
 
-use crate::failure_detector::DOUBT_AFTER;
-use crate::message::Query;
+use crate::failure_detector::PROBE_AFTER;
+use crate::message::QueryId;
 
 /// Interval while requests run. Load: reads that are routed to replicas by freshness; an
 /// older view of a replica sends its reads to the primary. One status row takes some
@@ -53,7 +53,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Open {
     /// Its name.
-    pub query: Query,
+    pub query: QueryId,
     /// When it was sent.
     pub asked: Time,
     /// What it asks for.
@@ -88,7 +88,7 @@
         }
         match plain.iter().map(|o| o.asked).min() {
             None => Due::Steady,
-            Some(at) if now.since(at) >= DOUBT_AFTER => Due::Fresh,
+            Some(at) if now.since(at) >= PROBE_AFTER => Due::Fresh,
             Some(_) => Due::Nothing,
         }
     }
@@ -102,7 +102,7 @@
     }
 
     /// Takes out the question that an answer belongs to.
-    pub fn answered(&mut self, query: Query) -> Option<Open> {
+    pub fn answered(&mut self, query: QueryId) -> Option<Open> {
         let at = self.open.iter().position(|o| o.query == query)?;
         Some(self.open.swap_remove(at))
     }
--- a/crates/policy/src/promote.rs
+++ b/crates/policy/src/promote.rs
@@ -10,9 +10,9 @@
 use model::position::{Point, Revision, Term};
 use model::unit::{Span, Time};
 
-use crate::decision::{Cause, Fact, Trace};
+use crate::decision::{Cause, Fact, TraceId};
 use crate::leadership::Record;
-use crate::message::{Ask, Query, StoreReply, StoreRequest, Versioned};
+use crate::message::{Command, QueryId, StoreReply, StoreRequest, Versioned};
 use crate::spec::Spec;
 use crate::status::Status;
 
@@ -46,11 +46,11 @@
 
 /// What an attempt asks for.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Order {
+pub enum Request {
     /// A request to the store.
     Store(StoreRequest),
     /// An order to an instance.
-    Ask(InstanceId, Ask),
+    Instance(InstanceId, Command),
 }
 
 /// What became of a step.
@@ -59,7 +59,7 @@
     /// The term is claimed.
     Claimed,
     /// Another proxy's record is newer; the attempt is over.
-    Outrun(Versioned),
+    Superseded(Versioned),
     /// An instance promised a later term; the attempt is over.
     Fenced(InstanceId, Term),
     /// An instance was chosen among the fenced majority.
@@ -89,7 +89,7 @@
     /// Why there is one.
     pub cause: Cause,
     /// Links its decisions.
-    pub trace: Trace,
+    pub trace: TraceId,
     /// What is or will be claimed.
     pub record: Record,
     /// Stage reached.
@@ -98,7 +98,7 @@
     pub since: Time,
     revision: Revision,
     fenced: IndexMap<InstanceId, Status>,
-    queries: Vec<Query>,
+    queries: Vec<QueryId>,
     asked: Option<Time>,
     ordered: IndexMap<InstanceId, Time>,
 }
@@ -122,7 +122,7 @@
         };
         let mut attempt = Self {
             cause,
-            trace: Trace(nonce),
+            trace: TraceId(nonce),
             record,
             step: Step::Reading,
             since: now,
@@ -161,11 +161,16 @@
     }
 
     /// Takes in an answer of the store.
-    pub fn store(&mut self, now: Time, query: Query, answer: StoreReply) -> Option<Progress> {
+    pub fn take_store_reply(
+        &mut self,
+        now: Time,
+        query: QueryId,
+        reply: StoreReply,
+    ) -> Option<Progress> {
         if !self.queries.contains(&query) {
             return None;
         }
-        match (&self.step, answer) {
+        match (&self.step, reply) {
             (Step::Reading, StoreReply::Found(found)) => {
                 self.base_on(&found);
                 None
@@ -207,7 +212,7 @@
             self.asked = None;
             return None;
         }
-        Some(Progress::Outrun(found))
+        Some(Progress::Superseded(found))
     }
 
     fn published(&self, primary: InstanceId, revision: Revision) -> Progress {
@@ -220,7 +225,7 @@
     fn check_published(&mut self, found: Versioned) -> Option<Progress> {
         let record = found.record.as_ref()?;
         if record.nonce != self.record.nonce {
-            return Some(Progress::Outrun(found));
+            return Some(Progress::Superseded(found));
         }
         match record.primary.clone() {
             Some(primary) => Some(Progress::Published(primary, found)),
@@ -280,59 +285,59 @@
     }
 
     /// What is to be sent now; the caller names store requests by `note_store`.
-    pub fn orders(&mut self, now: Time, spec: &Spec) -> Vec<Order> {
+    pub fn requests(&mut self, now: Time, spec: &Spec) -> Vec<Request> {
         match self.step.clone() {
-            Step::Reading | Step::Settling => self.ask_store(now, StoreRequest::Read),
-            Step::Claiming => self.ask_swap(now, None),
+            Step::Reading | Step::Settling => self.query_store(now, StoreRequest::Read),
+            Step::Claiming => self.swap(now, None),
             Step::Fencing => {
                 let members = spec.members.keys();
                 let left = members.filter(|m| !self.fenced.contains_key(*m));
                 let left: Vec<_> = left.cloned().collect();
-                let fence = Ask::Fence(self.record.term);
-                let due = left.into_iter().filter(|m| self.order_due(now, m));
+                let fence = Command::Fence(self.record.term);
+                let due = left.into_iter().filter(|m| self.command_due(now, m));
                 let due: Vec<_> = due.collect();
                 due.into_iter()
-                    .map(|m| self.order(now, m, fence.clone()))
+                    .map(|m| self.command(now, m, fence.clone()))
                     .collect()
             }
-            Step::Promoting(chosen) if self.order_due(now, &chosen) => {
-                vec![self.order(now, chosen, Ask::Promote(self.record.term))]
+            Step::Promoting(chosen) if self.command_due(now, &chosen) => {
+                vec![self.command(now, chosen, Command::Promote(self.record.term))]
             }
             Step::Promoting(_) => Vec::new(),
-            Step::Publishing(primary) => self.ask_swap(now, Some(primary)),
+            Step::Publishing(primary) => self.swap(now, Some(primary)),
         }
     }
 
-    fn ask_swap(&self, now: Time, primary: Option<InstanceId>) -> Vec<Order> {
+    fn swap(&self, now: Time, primary: Option<InstanceId>) -> Vec<Request> {
         let mut record = self.record.clone();
         record.primary = primary;
         let expected = self.revision;
-        self.ask_store(now, StoreRequest::Swap { expected, record })
+        self.query_store(now, StoreRequest::Swap { expected, record })
     }
 
-    fn ask_store(&self, now: Time, ask: StoreRequest) -> Vec<Order> {
+    fn query_store(&self, now: Time, request: StoreRequest) -> Vec<Request> {
         let open = self.asked.is_some_and(|at| now.since(at) < STORE_AGAIN);
         if open {
             Vec::new()
         } else {
-            vec![Order::Store(ask)]
+            vec![Request::Store(request)]
         }
     }
 
     /// Notes the name that a store request went out under.
-    pub fn note_store(&mut self, now: Time, query: Query) {
+    pub fn store_queried(&mut self, now: Time, query: QueryId) {
         self.queries.push(query);
         self.asked = Some(now);
     }
 
-    fn order_due(&self, now: Time, instance: &InstanceId) -> bool {
+    fn command_due(&self, now: Time, instance: &InstanceId) -> bool {
         let last = self.ordered.get(instance);
         last.is_none_or(|at| now.since(*at) >= ORDER_AGAIN)
     }
 
-    fn order(&mut self, now: Time, instance: InstanceId, ask: Ask) -> Order {
+    fn command(&mut self, now: Time, instance: InstanceId, command: Command) -> Request {
         self.ordered.insert(instance.clone(), now);
-        Order::Ask(instance, ask)
+        Request::Instance(instance, command)
     }
 
     /// Whether the chosen instance took too long.
--- a/crates/policy/src/read.rs
+++ b/crates/policy/src/read.rs
@@ -14,7 +14,7 @@
 use crate::freshness::Freshness;
 use crate::route::ReadNeed;
 use crate::spec::{Member, Spec};
-use crate::status::{Observed, Role};
+use crate::status::{Observation, Role};
 
 /// Weight of the newest latency in the moving average, as a divisor.
 const SMOOTHING: u64 = 8;
@@ -80,7 +80,7 @@
     /// The primary, unless it is in doubt.
     pub primary: Option<&'a InstanceId>,
     /// Newest observation of each instance that answers.
-    pub seen: IndexMap<&'a InstanceId, &'a Observed>,
+    pub seen: IndexMap<&'a InstanceId, &'a Observation>,
     /// Loads of the instances.
     pub loads: &'a IndexMap<InstanceId, Load>,
     /// Proofs of freshness.
@@ -114,7 +114,8 @@
     /// not have the record yet, or still hold what was discarded.
     fn forked(&self) -> Option<Point> {
         let point = self.need.point?;
-        let newest = |o: &&&Observed| o.status.term() == self.term && o.status.fenced <= self.term;
+        let newest =
+            |o: &&&Observation| o.status.term() == self.term && o.status.fenced <= self.term;
         let mut newest = self.seen.values().filter(newest);
         let gone = newest.any(|o| o.status.shows(point) == Coverage::Forked);
         gone.then_some(point)
@@ -142,19 +143,19 @@
     }
 
     /// The primary always shows its own term's commits, also those after its last status.
-    fn shows(&self, id: &InstanceId, seen: &Observed, point: Point) -> bool {
+    fn shows(&self, id: &InstanceId, seen: &Observation, point: Point) -> bool {
         let own = self.primary == Some(id) && point.term == self.term;
         own || seen.status.shows(point) == Coverage::Held
     }
 
-    fn young(&self, seen: &Observed, age: Span) -> bool {
+    fn young(&self, seen: &Observation, age: Span) -> bool {
         let shown = self.fresh.age(self.now, &seen.status);
         shown.is_some_and(|a| a <= age)
     }
 
     /// Without a point the read must see all that was acknowledged before it arrived: a
     /// majority must have been seen since then without a later promise.
-    fn barrier(&self, seen: &Observed) -> Option<Point> {
+    fn barrier(&self, seen: &Observation) -> Option<Point> {
         let newest = self.fresh.newest()?;
         let proven = newest.since >= self.arrived;
         let shown = seen.status.shows(newest.point) == Coverage::Held;
@@ -205,7 +206,7 @@
     /// written as the replica was behind when it was last seen.
     fn expected(&self, id: &InstanceId) -> Option<Time> {
         let seen = self.seen.get(id)?;
-        let lag = self.fresh.age(seen.asked, &seen.status)?;
+        let lag = self.fresh.age(seen.queried_at, &seen.status)?;
         if self.need.max_age.is_some_and(|age| lag > age) {
             return None;
         }
--- a/crates/policy/src/spec.rs
+++ b/crates/policy/src/spec.rs
@@ -58,7 +58,7 @@
 
 /// The proxy that runs a controller.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Me {
+pub struct LocalProxy {
     /// Its id.
     pub id: ProxyId,
     /// Where it runs.
--- a/crates/policy/src/status.rs
+++ b/crates/policy/src/status.rs
@@ -27,7 +27,8 @@
     /// End of the log that its readers see; never beyond `received`.
     pub applied: Position,
     /// Time since it heard its primary; zero on a primary.
-    pub heard: Span,
+    #[serde(rename = "heard")]
+    pub contact_age: Span,
 }
 
 impl Status {
@@ -66,11 +67,11 @@
 
 /// A status together with the span of time in which it was true.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Observed {
+pub struct Observation {
     /// What the instance answered.
     pub status: Status,
     /// When the question was sent: the status was true at some moment since then.
-    pub asked: Time,
+    pub queried_at: Time,
     /// When the answer arrived.
-    pub seen: Time,
+    pub received_at: Time,
 }
--- a/crates/policy/tests/failover/fake/caller.rs
+++ b/crates/policy/tests/failover/fake/caller.rs
@@ -2,7 +2,7 @@
 
 use model::position::Point;
 use model::unit::{Span, Time};
-use policy::message::{Event, Ticket};
+use policy::message::{Event, RequestId};
 use policy::route::{ReadNeed, Refusal, Target, Unconfirmed};
 use policy::status::Role;
 
@@ -26,7 +26,7 @@
 /// A request of a caller that has no final answer.
 #[derive(Clone, Debug)]
 pub(crate) struct Open {
-    pub(crate) ticket: Ticket,
+    pub(crate) request: RequestId,
     pub(crate) session: usize,
     pub(crate) write: Option<u64>,
     pub(crate) begun: Begun,
@@ -38,7 +38,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Exec {
     pub(crate) who: Who,
-    pub(crate) ticket: Ticket,
+    pub(crate) request: RequestId,
     pub(crate) instance: usize,
     pub(crate) write: Option<u64>,
 }
@@ -75,9 +75,9 @@
 }
 
 impl World {
-    fn ticket(&mut self) -> Ticket {
+    fn request_id(&mut self) -> RequestId {
         self.oracle.callers.next += 1;
-        Ticket(self.oracle.callers.next)
+        RequestId(self.oracle.callers.next)
     }
 
     pub(crate) fn session(&mut self, at: usize) -> &mut Session {
@@ -90,12 +90,12 @@
 
     /// Sends a write of the session through a proxy; its number names it.
     pub(crate) fn write(&mut self, proxy: usize, session: usize) -> u64 {
-        let ticket = self.ticket();
+        let request = self.request_id();
         let token = self.session(session).token;
         let open = Open {
-            ticket,
+            request,
             session,
-            write: Some(ticket.0),
+            write: Some(request.0),
             begun: self.oracle.begin(),
             target: None,
             point: Point::default(),
@@ -106,17 +106,17 @@
         self.event(
             proxy,
             Event::RouteWrite {
-                ticket,
+                request,
                 point,
                 deadline,
             },
         );
-        ticket.0
+        request.0
     }
 
     /// Sends a read of the session through a proxy.
     pub(crate) fn read(&mut self, proxy: usize, session: usize, marks: Marks) {
-        let ticket = self.ticket();
+        let request = self.request_id();
         let Session { token, writes } = self.session(session).clone();
         let mut begun = self.oracle.begin();
         begun.shows = match marks {
@@ -130,7 +130,7 @@
             }
         };
         self.oracle.callers.open.push(Open {
-            ticket,
+            request,
             session,
             write: None,
             begun,
@@ -148,25 +148,25 @@
         self.event(
             proxy,
             Event::RouteRead {
-                ticket,
+                request,
                 need,
                 deadline,
             },
         );
     }
 
-    fn find(&mut self, ticket: Ticket) -> Option<&mut Open> {
+    fn find(&mut self, request: RequestId) -> Option<&mut Open> {
         let mut open = self.oracle.callers.open.iter_mut();
-        open.find(|o| o.ticket == ticket)
+        open.find(|o| o.request == request)
     }
 
-    fn close(&mut self, ticket: Ticket) -> Option<Open> {
+    fn close(&mut self, request: RequestId) -> Option<Open> {
         let open = &mut self.oracle.callers.open;
-        let at = open.iter().position(|o| o.ticket == ticket)?;
+        let at = open.iter().position(|o| o.request == request)?;
         Some(open.swap_remove(at))
     }
 
-    pub(crate) fn routed(&mut self, who: Who, ticket: Ticket, result: Result<Target, Refusal>) {
+    pub(crate) fn routed(&mut self, who: Who, request: RequestId, result: Result<Target, Refusal>) {
         let target = match result {
             Ok(target) => target,
             Err(refusal) => {
@@ -174,11 +174,11 @@
                 if let Refusal::Forked { point } = refusal {
                     self.oracle.violations.push(Violation::Forked(point));
                 }
-                self.close(ticket);
+                self.close(request);
                 return;
             }
         };
-        let Some(open) = self.find(ticket) else {
+        let Some(open) = self.find(request) else {
             return;
         };
         open.target = Some(target.clone());
@@ -186,7 +186,7 @@
         let instance = target.instance.as_str()[1..].parse().unwrap();
         let exec = Exec {
             who,
-            ticket,
+            request,
             instance,
             write,
         };
@@ -216,11 +216,11 @@
 
     pub(crate) fn executed(&mut self, done: Executed) {
         let Executed { exec, point, shown } = done;
-        let (ticket, at) = (exec.ticket, exec.who.0);
+        let (request, at) = (exec.request, exec.who.0);
         if self.proxies[at].start != exec.who.1 {
             return;
         }
-        let Some(open) = self.find(ticket).cloned() else {
+        let Some(open) = self.find(request).cloned() else {
             return;
         };
         let target = open.target.clone().unwrap();
@@ -229,20 +229,20 @@
                 self.oracle.read(&shown, &open.begun);
                 let replica = target.role == Role::Replica;
                 self.oracle.replica_reads += usize::from(replica);
-                self.close(ticket);
+                self.close(request);
             }
             (Some(_), Some(point)) if point.term == target.term => {
-                self.find(ticket).unwrap().point = point;
+                self.find(request).unwrap().point = point;
                 let deadline = self.now + PATIENCE;
                 let event = Event::Confirm {
-                    ticket,
+                    request,
                     point,
                     deadline,
                 };
                 self.event(at, event);
             }
             (Some(_), _) => {
-                self.close(ticket);
+                self.close(request);
             }
         }
         let instance = target.instance;
@@ -250,8 +250,13 @@
         self.event(at, Event::Finished { instance, took });
     }
 
-    pub(crate) fn confirmed(&mut self, _who: Who, ticket: Ticket, result: Result<(), Unconfirmed>) {
-        let Some(open) = self.close(ticket) else {
+    pub(crate) fn confirmed(
+        &mut self,
+        _who: Who,
+        request: RequestId,
+        result: Result<(), Unconfirmed>,
+    ) {
+        let Some(open) = self.close(request) else {
             return;
         };
         let (Ok(()), Some(write)) = (result, open.write) else {
--- a/crates/policy/tests/failover/fake/instance.rs
+++ b/crates/policy/tests/failover/fake/instance.rs
@@ -2,7 +2,7 @@
 
 use model::position::{History, Point, Position, Term};
 use model::unit::Time;
-use policy::message::Ask;
+use policy::message::Command;
 use policy::route::Failure;
 use policy::status::{Role, Status};
 
@@ -60,7 +60,7 @@
             history: self.history.clone(),
             received: self.end(),
             applied: Position(self.applied as u64),
-            heard: if primary {
+            contact_age: if primary {
                 Default::default()
             } else {
                 now.since(self.heard)
@@ -69,25 +69,25 @@
     }
 
     /// Carries out an order; waits answer at once, which is allowed.
-    pub(crate) fn take(&mut self, now: Time, ask: &Ask) -> Result<Status, Failure> {
-        match ask {
-            Ask::Status | Ask::Wait { .. } => {}
-            Ask::Fence(term) => self.fenced = self.fenced.max(*term),
-            Ask::Promote(term) if *term == self.fenced => {
+    pub(crate) fn take(&mut self, now: Time, command: &Command) -> Result<Status, Failure> {
+        match command {
+            Command::Status | Command::Wait { .. } => {}
+            Command::Fence(term) => self.fenced = self.fenced.max(*term),
+            Command::Promote(term) if *term == self.fenced => {
                 self.role = Role::Primary;
                 self.follows = None;
                 self.term = *term;
                 self.history.begin(*term, self.end());
                 self.applied = self.log.len();
             }
-            Ask::Follow { term, primary } if *term >= self.fenced => {
+            Command::Follow { term, primary } if *term >= self.fenced => {
                 self.fenced = *term;
                 self.term = *term;
                 self.role = Role::Replica;
                 self.follows = primary.as_str()[1..].parse().ok();
                 self.heard = now;
             }
-            Ask::Promote(_) | Ask::Follow { .. } => return Err(Failure::Protocol),
+            Command::Promote(_) | Command::Follow { .. } => return Err(Failure::Protocol),
         }
         Ok(self.status(now))
     }
--- a/crates/policy/tests/failover/fake/mod.rs
+++ b/crates/policy/tests/failover/fake/mod.rs
@@ -17,7 +17,7 @@
 use model::id::{GroupId, InstanceId};
 use model::settings::{Acknowledge, Settings};
 use model::unit::{Span, Time};
-use policy::message::{Ask, PeerReport, Query, StoreReply, StoreRequest};
+use policy::message::{Command, PeerReport, QueryId, StoreReply, StoreRequest};
 use policy::route::Failure;
 use policy::status::{Role, Status};
 use rand::rngs::SmallRng;
@@ -48,11 +48,11 @@
 /// A message on its way.
 #[derive(Clone, Debug)]
 pub(crate) enum Message {
-    Ask(Who, Query, usize, Ask),
-    Answer(Who, Query, Result<Status, Failure>),
-    StoreRequest(Who, Query, StoreRequest),
-    StoreReply(Who, Query, StoreReply),
-    View(usize, PeerReport),
+    Command(Who, QueryId, usize, Command),
+    Response(Who, QueryId, Result<Status, Failure>),
+    StoreRequest(Who, QueryId, StoreRequest),
+    StoreReply(Who, QueryId, StoreReply),
+    Report(usize, PeerReport),
     Exec(Exec),
     Executed(Executed),
 }
@@ -239,7 +239,7 @@
     /// Whether a message is for an instance that only its own data centre reaches.
     fn shut_out(&self, flight: &Flight) -> bool {
         let at = match &flight.message {
-            Message::Ask(_, _, at, _) => *at,
+            Message::Command(_, _, at, _) => *at,
             Message::Exec(exec) => exec.instance,
             _ => return false,
         };
@@ -248,7 +248,7 @@
 
     fn receive(&mut self, flight: Flight) {
         let held = match &flight.message {
-            Message::Ask(_, _, at, _) => self.instances[*at].frozen,
+            Message::Command(_, _, at, _) => self.instances[*at].frozen,
             Message::Exec(exec) => self.instances[exec.instance].frozen,
             _ => false,
         };
@@ -258,30 +258,34 @@
             return;
         }
         match flight.message {
-            Message::Ask(who, query, at, ask) => self.answer(who, query, at, &ask),
-            Message::Answer(who, query, result) => self.answered(who, query, result),
-            Message::StoreRequest(who, query, ask) => self.answer_store(who, query, ask),
-            Message::StoreReply(who, query, answer) => self.store_answered(who, query, answer),
-            Message::View(at, view) => self.viewed(at, view),
+            Message::Command(who, query, at, command) => self.run_command(who, query, at, &command),
+            Message::Response(who, query, result) => self.respond(who, query, result),
+            Message::StoreRequest(who, query, request) => self.query_store(who, query, request),
+            Message::StoreReply(who, query, reply) => self.store_replied(who, query, reply),
+            Message::Report(at, report) => self.report_received(at, report),
             Message::Exec(exec) => self.execute(exec),
             Message::Executed(done) => self.executed(done),
         }
     }
 
-    fn answer(&mut self, who: Who, query: Query, at: usize, ask: &Ask) {
+    fn run_command(&mut self, who: Who, query: QueryId, at: usize, command: &Command) {
         let now = self.now;
         let home = self.proxies[who.0].site;
         if !self.instances[at].up {
-            return self.send(at, home, Message::Answer(who, query, Err(Failure::Refused)));
+            return self.send(
+                at,
+                home,
+                Message::Response(who, query, Err(Failure::Refused)),
+            );
         }
-        let result = self.instances[at].take(now, ask);
-        self.send(at, home, Message::Answer(who, query, result));
+        let result = self.instances[at].take(now, command);
+        self.send(at, home, Message::Response(who, query, result));
     }
 
-    fn answer_store(&mut self, who: Who, query: Query, ask: StoreRequest) {
+    fn query_store(&mut self, who: Who, query: QueryId, request: StoreRequest) {
         let home = self.proxies[who.0].site;
-        if let Some(answer) = self.store.take(ask, &mut self.rng) {
-            self.send(STORE_SITE, home, Message::StoreReply(who, query, answer));
+        if let Some(reply) = self.store.take(request, &mut self.rng) {
+            self.send(STORE_SITE, home, Message::StoreReply(who, query, reply));
         }
     }
 
--- a/crates/policy/tests/failover/fake/proxy.rs
+++ b/crates/policy/tests/failover/fake/proxy.rs
@@ -4,10 +4,10 @@
 
 use model::id::ProxyId;
 use model::location::Location;
-use policy::message::{Action, Event, Peer, PeerReport, Query, Recipients, StoreReply};
+use policy::message::{Action, Event, Peer, PeerReport, QueryId, Recipients, StoreReply};
 use policy::node::{Input, Node};
 use policy::route::Failure;
-use policy::spec::Me;
+use policy::spec::LocalProxy;
 use policy::status::Status;
 use rand::Rng as _;
 
@@ -31,7 +31,7 @@
         let site = at % SITES;
         let start = self.proxies.get(at).map_or(0, |p| p.start + 1);
         let id: ProxyId = format!("p{at}-{start}").parse().unwrap();
-        let me = Me {
+        let me = LocalProxy {
             id: id.clone(),
             location: self.location(site),
         };
@@ -131,26 +131,26 @@
         let site = self.proxies[at].site;
         let who = (at, self.proxies[at].start);
         match action {
-            Action::Ask {
+            Action::Command {
                 query,
                 instance,
-                ask,
+                command,
                 ..
             } => {
                 let to = instance.as_str()[1..].parse().unwrap();
-                self.send(site, to, Message::Ask(who, query, to, ask));
+                self.send(site, to, Message::Command(who, query, to, command));
             }
-            Action::Store { query, ask } => {
-                self.send(site, STORE_SITE, Message::StoreRequest(who, query, ask));
+            Action::Store { query, request } => {
+                self.send(site, STORE_SITE, Message::StoreRequest(who, query, request));
             }
-            Action::Tell { to, view } => self.tell(at, &to, &view),
-            Action::Routed { ticket, result } => self.routed(who, ticket, result),
-            Action::Confirmed { ticket, result } => self.confirmed(who, ticket, result),
+            Action::Send { to, report } => self.send_report(at, &to, &report),
+            Action::Routed { request, result } => self.routed(who, request, result),
+            Action::Confirmed { request, result } => self.confirmed(who, request, result),
             Action::Decided(decision) => self.proxies[at].decisions.push(decision),
         }
     }
 
-    fn tell(&mut self, from: usize, to: &Recipients, view: &PeerReport) {
+    fn send_report(&mut self, from: usize, to: &Recipients, report: &PeerReport) {
         for at in 0..self.proxies.len() {
             let meant = match to {
                 Recipients::All => at != from,
@@ -158,28 +158,28 @@
             };
             if meant {
                 let (a, b) = (self.proxies[from].site, self.proxies[at].site);
-                self.send(a, b, Message::View(at, view.clone()));
+                self.send(a, b, Message::Report(at, report.clone()));
             }
         }
     }
 
-    pub(crate) fn viewed(&mut self, at: usize, view: PeerReport) {
-        self.event(at, Event::Peer(view));
+    pub(crate) fn report_received(&mut self, at: usize, report: PeerReport) {
+        self.event(at, Event::PeerReport(report));
     }
 
     fn current(&self, who: Who) -> bool {
         self.proxies[who.0].start == who.1
     }
 
-    pub(crate) fn answered(&mut self, who: Who, query: Query, result: Result<Status, Failure>) {
+    pub(crate) fn respond(&mut self, who: Who, query: QueryId, result: Result<Status, Failure>) {
         if self.current(who) {
-            self.event(who.0, Event::Answer { query, result });
+            self.event(who.0, Event::Response { query, result });
         }
     }
 
-    pub(crate) fn store_answered(&mut self, who: Who, query: Query, answer: StoreReply) {
+    pub(crate) fn store_replied(&mut self, who: Who, query: QueryId, reply: StoreReply) {
         if self.current(who) {
-            self.event(who.0, Event::Store { query, answer });
+            self.event(who.0, Event::Store { query, reply });
         }
     }
 }
--- a/crates/policy/tests/failover/fake/store.rs
+++ b/crates/policy/tests/failover/fake/store.rs
@@ -17,11 +17,11 @@
 }
 
 impl Store {
-    pub(crate) fn take(&mut self, ask: StoreRequest, rng: &mut SmallRng) -> Option<StoreReply> {
+    pub(crate) fn take(&mut self, request: StoreRequest, rng: &mut SmallRng) -> Option<StoreReply> {
         if self.down {
             return None;
         }
-        let answer = match ask {
+        let reply = match request {
             StoreRequest::Swap { expected, record } if expected == self.held.revision => {
                 if record.primary.is_none() {
                     self.claims.push(record.term.0);
@@ -34,6 +34,6 @@
             StoreRequest::Read | StoreRequest::Swap { .. } => StoreReply::Found(self.held.clone()),
         };
         let lost = rng.random_range(0..100) < self.lose;
-        Some(if lost { StoreReply::Unknown } else { answer })
+        Some(if lost { StoreReply::Unknown } else { reply })
     }
 }
--- a/crates/policy/tests/promote.rs
+++ b/crates/policy/tests/promote.rs
@@ -7,8 +7,8 @@
 use model::unit::{Span, Time};
 use policy::decision::Cause;
 use policy::leadership::Record;
-use policy::message::{Query, StoreReply, StoreRequest, Versioned};
-use policy::promote::{self, Attempt, Order, Progress, Step};
+use policy::message::{QueryId, StoreReply, StoreRequest, Versioned};
+use policy::promote::{self, Attempt, Progress, Request, Step};
 use policy::spec::Spec;
 use policy::status::{Role, Status};
 use test_case::test_case;
@@ -56,12 +56,12 @@
     let me = "p1".parse().unwrap();
     let known = Versioned::default();
     let mut attempt = Attempt::new(NOW, &me, Cause::Unreachable, Some(&known), Term(1), 7);
-    let orders = attempt.orders(NOW, &spec(None));
+    let requests = attempt.requests(NOW, &spec(None));
     assert!(matches!(
-        &orders[..],
-        [Order::Store(StoreRequest::Swap { .. })]
+        &requests[..],
+        [Request::Store(StoreRequest::Swap { .. })]
     ));
-    attempt.note_store(NOW, Query(1));
+    attempt.store_queried(NOW, QueryId(1));
     attempt
 }
 
@@ -70,11 +70,14 @@
 #[test]
 fn a_lost_claim_is_not_taken_for_a_won_one() {
     let mut attempt = claiming();
-    assert_eq!(attempt.store(NOW, Query(1), StoreReply::Unknown), None);
-    attempt.note_store(NOW, Query(2));
+    assert_eq!(
+        attempt.take_store_reply(NOW, QueryId(1), StoreReply::Unknown),
+        None
+    );
+    attempt.store_queried(NOW, QueryId(2));
     let other = found(1, Some(record("p2", 8)));
-    let progress = attempt.store(NOW, Query(2), other);
-    assert!(matches!(progress, Some(Progress::Outrun(_))));
+    let progress = attempt.take_store_reply(NOW, QueryId(2), other);
+    assert!(matches!(progress, Some(Progress::Superseded(_))));
     assert!(!attempt.claimed());
 }
 
@@ -82,10 +85,10 @@
 #[test]
 fn a_claim_whose_answer_was_lost_is_recognised() {
     let mut attempt = claiming();
-    attempt.store(NOW, Query(1), StoreReply::Unknown);
-    attempt.note_store(NOW, Query(2));
+    attempt.take_store_reply(NOW, QueryId(1), StoreReply::Unknown);
+    attempt.store_queried(NOW, QueryId(2));
     let own = found(1, Some(record("p1", 7)));
-    let progress = attempt.store(NOW, Query(2), own);
+    let progress = attempt.take_store_reply(NOW, QueryId(2), own);
     assert_eq!(progress, Some(Progress::Claimed));
 }
 
@@ -94,11 +97,11 @@
 #[test]
 fn a_claim_without_effect_is_sent_again() {
     let mut attempt = claiming();
-    attempt.store(NOW, Query(1), StoreReply::Unknown);
-    attempt.note_store(NOW, Query(2));
-    attempt.store(NOW, Query(2), found(0, None));
+    attempt.take_store_reply(NOW, QueryId(1), StoreReply::Unknown);
+    attempt.store_queried(NOW, QueryId(2));
+    attempt.take_store_reply(NOW, QueryId(2), found(0, None));
     assert_eq!(attempt.step, Step::Claiming);
-    let late = attempt.store(NOW, Query(1), StoreReply::Swapped(Revision(1)));
+    let late = attempt.take_store_reply(NOW, QueryId(1), StoreReply::Swapped(Revision(1)));
     assert_eq!(late, Some(Progress::Claimed));
 }
 
@@ -108,7 +111,7 @@
 fn one_term_never_has_a_second_choice() {
     let spec = spec(None);
     let mut attempt = claiming();
-    attempt.store(NOW, Query(1), StoreReply::Swapped(Revision(1)));
+    attempt.take_store_reply(NOW, QueryId(1), StoreReply::Swapped(Revision(1)));
     for id in ["i1", "i2"] {
         attempt.observe(NOW, &spec, &id.parse().unwrap(), &fenced("1:0", 5));
     }
@@ -127,7 +130,7 @@
         history: history.parse().unwrap(),
         received: model::position::Position(received),
         applied: model::position::Position(received),
-        heard: Span::default(),
+        contact_age: Span::default(),
     }
 }
 
--- a/crates/proxy/src/group.rs
+++ b/crates/proxy/src/group.rs
@@ -18,10 +18,10 @@
 use model::position::{Point, Term};
 use model::unit::{Span, Time};
 use policy::decision::Decision;
-use policy::group::Lead;
+use policy::group::Leadership;
 use policy::message::{Peer, PeerReport, Recipients, Versioned};
 use policy::route::{Failure, ReadNeed, Refusal, Target, Unconfirmed};
-use policy::status::Observed;
+use policy::status::Observation;
 
 use crate::admit;
 use crate::trace::Tracer;
@@ -65,9 +65,9 @@
     /// The present on the clock of this task, to which all times here refer.
     pub now: Time,
     /// The newest known primary.
-    pub lead: Lead,
+    pub lead: Leadership,
     /// Newest observation of each instance.
-    pub seen: IndexMap<InstanceId, Observed>,
+    pub seen: IndexMap<InstanceId, Observation>,
     /// Newest decisions, oldest first.
     pub decisions: Vec<Decision>,
 }
--- a/crates/proxy/src/group/client.rs
+++ b/crates/proxy/src/group/client.rs
@@ -190,7 +190,7 @@
         history: history.parse().ok()?,
         received: received.parse().ok()?,
         applied: applied.parse().ok()?,
-        heard: Span::from_millis(heard.parse().ok()?),
+        contact_age: Span::from_millis(heard.parse().ok()?),
     })
 }
 
--- a/crates/proxy/src/group/link.rs
+++ b/crates/proxy/src/group/link.rs
@@ -7,7 +7,7 @@
 
 use compio::runtime::JoinHandle;
 use model::id::InstanceId;
-use policy::message::{Channel, Query};
+use policy::message::{Channel, QueryId};
 use policy::route::Failure;
 use policy::status::Status;
 
@@ -29,14 +29,14 @@
 
 /// An answer of an instance.
 pub(super) struct Answer {
-    pub(super) query: Query,
+    pub(super) query: QueryId,
     pub(super) result: Result<Status, Failure>,
     /// The time on the way there and back, when it is known to have changed.
     pub(super) trip: Option<(InstanceId, Duration)>,
 }
 
 impl Answer {
-    fn new(query: Query, result: Result<Status, Failure>) -> Self {
+    fn new(query: QueryId, result: Result<Status, Failure>) -> Self {
         let trip = None;
         Self {
             query,
@@ -49,7 +49,7 @@
 /// A question to an instance.
 #[derive(Clone, Debug)]
 pub(super) struct Question {
-    pub(super) query: Query,
+    pub(super) query: QueryId,
     pub(super) sql: String,
     /// Whether it is an order, which may reuse an answered connection: only a status that
     /// serves as evidence of life needs a new one.
@@ -57,7 +57,7 @@
 }
 
 /// Questions of the long-lived connection without an answer, oldest first.
-type Pending = Rc<RefCell<VecDeque<(Query, Instant)>>>;
+type Pending = Rc<RefCell<VecDeque<(QueryId, Instant)>>>;
 
 struct Steady {
     tx: flume::Sender<Question>,
@@ -88,14 +88,14 @@
 
     pub(super) fn ask(&mut self, question: Question, channel: Channel) {
         match channel {
-            Channel::Steady => self.ask_steady(question),
+            Channel::Persistent => self.ask_steady(question),
             Channel::Fresh => self.ask_fresh(question),
         }
     }
 
     /// Notes that the instance answered. Closes what is idle, and the long-lived
     /// connection if that one stayed silent meanwhile.
-    pub(super) fn answered(&mut self, query: Query) {
+    pub(super) fn answered(&mut self, query: QueryId) {
         let Some(steady) = &self.steady else {
             return;
         };
--- a/crates/proxy/src/group/task.rs
+++ b/crates/proxy/src/group/task.rs
@@ -9,9 +9,9 @@
 use policy::decision::{Decision, Phase, What};
 use policy::group::{self, Group};
 use policy::leadership;
-use policy::message::{Action, Ask, Event, Query, StoreReply, StoreRequest, Ticket};
+use policy::message::{Action, Command, Event, QueryId, RequestId, StoreReply, StoreRequest};
 use policy::route::{Refusal, Target, Unconfirmed};
-use policy::spec::{Me, Spec};
+use policy::spec::{LocalProxy, Spec};
 
 use crate::trace::{Side, Tracer};
 
@@ -30,7 +30,7 @@
 /// Answers that come back to the task.
 enum Inner {
     Instance(Answer),
-    Store(Query, StoreReply),
+    Store(QueryId, StoreReply),
 }
 
 enum Caller {
@@ -45,14 +45,14 @@
     spec: Spec,
     group: Group,
     links: IndexMap<InstanceId, Link>,
-    callers: IndexMap<Ticket, Caller>,
+    callers: IndexMap<RequestId, Caller>,
     tickets: u64,
     /// The change of primary that is under way.
     trace: Option<u64>,
     /// Who waits for a primary of a later term than this.
     waiting: Vec<(Term, flume::Sender<()>)>,
     instances: flume::Sender<Answer>,
-    stores: flume::Sender<(Query, StoreReply)>,
+    stores: flume::Sender<(QueryId, StoreReply)>,
 }
 
 /// Serves requests until every handle is gone.
@@ -63,7 +63,7 @@
     };
     let (instances, answers) = flume::unbounded();
     let (stores, stored) = flume::unbounded();
-    let me = Me {
+    let me = LocalProxy {
         id: setup.me.clone(),
         location: setup.location.clone(),
     };
@@ -106,7 +106,7 @@
 async fn next(
     rx: &flume::Receiver<Request>,
     answers: &flume::Receiver<Answer>,
-    stored: &flume::Receiver<(Query, StoreReply)>,
+    stored: &flume::Receiver<(QueryId, StoreReply)>,
     left: Duration,
 ) -> Option<Result<Input, flume::RecvError>> {
     if left.is_zero() {
@@ -144,7 +144,7 @@
 
     /// Tells those who wait for a later term than that of the primary they use.
     fn tell_waiting(&mut self) {
-        let term = self.group.lead().term;
+        let term = self.group.leadership().term;
         self.waiting.retain(|(old, tx)| {
             if term > *old {
                 let _ = tx.send(());
@@ -160,11 +160,11 @@
         self.step(Event::Tick);
     }
 
-    fn ticket(&mut self, caller: Caller) -> Ticket {
+    fn ticket(&mut self, caller: Caller) -> RequestId {
         self.tickets += 1;
-        let ticket = Ticket(self.tickets);
-        self.callers.insert(ticket, caller);
-        ticket
+        let request = RequestId(self.tickets);
+        self.callers.insert(request, caller);
+        request
     }
 
     fn request(&mut self, req: Request) {
@@ -174,17 +174,17 @@
                 deadline,
                 tx,
             } => {
-                let (ticket, deadline) = (self.ticket(Caller::Route(tx)), self.at(deadline));
+                let (request, deadline) = (self.ticket(Caller::Route(tx)), self.at(deadline));
                 self.step(Event::RouteWrite {
-                    ticket,
+                    request,
                     point,
                     deadline,
                 });
             }
             Request::Read { need, deadline, tx } => {
-                let (ticket, deadline) = (self.ticket(Caller::Route(tx)), self.at(deadline));
+                let (request, deadline) = (self.ticket(Caller::Route(tx)), self.at(deadline));
                 self.step(Event::RouteRead {
-                    ticket,
+                    request,
                     need,
                     deadline,
                 });
@@ -194,9 +194,9 @@
                 deadline,
                 tx,
             } => {
-                let (ticket, deadline) = (self.ticket(Caller::Confirm(tx)), self.at(deadline));
+                let (request, deadline) = (self.ticket(Caller::Confirm(tx)), self.at(deadline));
                 self.step(Event::Confirm {
-                    ticket,
+                    request,
                     point,
                     deadline,
                 });
@@ -219,7 +219,7 @@
     fn told(&mut self, told: Told) {
         match told {
             Told::Peers(live) => self.step(Event::Peers(live)),
-            Told::View(view) => self.step(Event::Peer(view)),
+            Told::View(view) => self.step(Event::PeerReport(view)),
             Told::Record(versioned) => self.step(Event::Record(versioned)),
         }
     }
@@ -227,8 +227,8 @@
     fn snapshot(&self) -> Snapshot {
         Snapshot {
             now: self.now(),
-            lead: self.group.lead().clone(),
-            seen: self.group.seen().clone(),
+            lead: self.group.leadership().clone(),
+            seen: self.group.observations().clone(),
             decisions: self.group.decisions().cloned().collect(),
         }
     }
@@ -258,37 +258,37 @@
                     let links = self.links.values_mut();
                     links.for_each(|link| link.answered(query));
                 }
-                self.step(Event::Answer { query, result });
+                self.step(Event::Response { query, result });
             }
-            Inner::Store(query, answer) => self.step(Event::Store { query, answer }),
+            Inner::Store(query, reply) => self.step(Event::Store { query, reply }),
         }
     }
 
     fn act(&mut self, action: Action) {
         match action {
-            Action::Ask {
+            Action::Command {
                 query,
                 instance,
-                ask,
+                command,
                 channel,
             } => {
                 let question = Question {
                     query,
-                    sql: self.sql(&ask),
-                    order: !matches!(ask, Ask::Status | Ask::Wait { .. }),
+                    sql: self.sql(&command),
+                    order: !matches!(command, Command::Status | Command::Wait { .. }),
                 };
                 if let Some(link) = self.link(&instance) {
                     link.ask(question, channel);
                 }
             }
-            Action::Store { query, ask } => self.ask_store(query, ask),
-            Action::Tell { to, view } => {
+            Action::Store { query, request } => self.ask_store(query, request),
+            Action::Send { to, report } => {
                 // Views repeat while they matter; one that finds no room is dropped.
-                let _ = self.setup.tell.try_send((to, view));
+                let _ = self.setup.tell.try_send((to, report));
             }
-            Action::Routed { ticket, result } => self.routed(ticket, result),
-            Action::Confirmed { ticket, result } => {
-                if let Some(Caller::Confirm(tx)) = self.callers.swap_remove(&ticket) {
+            Action::Routed { request, result } => self.routed(request, result),
+            Action::Confirmed { request, result } => {
+                if let Some(Caller::Confirm(tx)) = self.callers.swap_remove(&request) {
                     let _ = tx.send(result);
                 }
             }
@@ -296,8 +296,8 @@
         }
     }
 
-    fn routed(&mut self, ticket: Ticket, result: Result<Target, Refusal>) {
-        let Some(Caller::Route(tx)) = self.callers.swap_remove(&ticket) else {
+    fn routed(&mut self, request: RequestId, result: Result<Target, Refusal>) {
+        let Some(Caller::Route(tx)) = self.callers.swap_remove(&request) else {
             return;
         };
         if let Err(flume::SendError(Ok(target))) = tx.send(result) {
@@ -322,17 +322,17 @@
         Some(link.or_insert_with(|| Link::new(instance.clone(), login(), tx.clone())))
     }
 
-    fn sql(&self, ask: &Ask) -> String {
+    fn sql(&self, ask: &Command) -> String {
         let profile = &self.spec.settings.profile;
         match ask {
-            Ask::Status => profile.status.clone(),
-            Ask::Wait { position, timeout } => profile
+            Command::Status => profile.status.clone(),
+            Command::Wait { position, timeout } => profile
                 .wait
                 .replace("$position", &position.to_string())
                 .replace("$timeout_ms", &timeout.as_millis().to_string()),
-            Ask::Fence(term) => profile.fence.replace("$term", &term.to_string()),
-            Ask::Promote(term) => profile.promote.replace("$term", &term.to_string()),
-            Ask::Follow { term, primary } => {
+            Command::Fence(term) => profile.fence.replace("$term", &term.to_string()),
+            Command::Promote(term) => profile.promote.replace("$term", &term.to_string()),
+            Command::Follow { term, primary } => {
                 let member = self.spec.members.get(primary);
                 let address = member.map(|m| m.address.to_string()).unwrap_or_default();
                 let order = profile.follow.replace("$term", &term.to_string());
@@ -368,7 +368,7 @@
         &self.setup.tracer
     }
 
-    fn ask_store(&self, query: Query, ask: StoreRequest) {
+    fn ask_store(&self, query: QueryId, ask: StoreRequest) {
         let key = leadership::key(&self.setup.group);
         let trace = self.trace;
         let span = trace.map(|trace| self.tracer().within("store", Side::Client, trace));
