--- a/crates/policy/src/group.rs
+++ b/crates/policy/src/group.rs
@@ -4,9 +4,9 @@
 //! It keeps no clock, opens no socket and draws its randomness from the given seed, so
 //! that a run is repeated exactly by repeating its events.
 
-mod answer;
-mod drive;
 mod repair;
+mod responses;
+mod step;
 mod waiting;
 
 use indexmap::IndexMap;
--- a/crates/policy/tests/failover/main.rs
+++ b/crates/policy/tests/failover/main.rs
@@ -3,4 +3,4 @@
 
 mod fake;
 mod model;
-mod stories;
+mod scenarios;
