--- a/crates/policy/src/confirm.rs
+++ b/crates/policy/src/confirm.rs
@@ -36,7 +36,7 @@
     ///
     /// They may have survived the promotion, but they ran on a primary that is replaced,
     /// and such a one must never get a write acknowledged.
-    pub fn begin(&mut self, term: Term) -> Vec<Outcome> {
+    pub fn start_term(&mut self, term: Term) -> Vec<Outcome> {
         if term <= self.term {
             return Vec::new();
         }
@@ -87,7 +87,7 @@
 
     /// Answers the writes that `majority` instances hold, and those whose time is up.
     pub fn settle(&mut self, now: Time, majority: usize) -> Vec<Outcome> {
-        let safe = self.safe(majority);
+        let safe = self.majority_position(majority);
         let mut out = Vec::new();
         self.pending.retain(|p| {
             let result = if safe.is_some_and(|s| p.position <= s) {
@@ -104,7 +104,7 @@
     }
 
     /// Last position of the term that a majority holds.
-    pub fn safe(&self, majority: usize) -> Option<Position> {
+    pub fn majority_position(&self, majority: usize) -> Option<Position> {
         let mut held: Vec<_> = self.held.values().copied().collect();
         held.sort_unstable_by(|a, b| b.cmp(a));
         held.get(majority.checked_sub(1)?).copied()
@@ -113,11 +113,11 @@
     /// The lowest pending position that `instance` is not known to hold beyond `after`.
     ///
     /// One waiting question serves every commit up to the position that it returns.
-    pub fn wanted(&self, instance: &InstanceId, after: Position) -> Option<Position> {
+    pub fn next_wait(&self, instance: &InstanceId, after: Position) -> Option<Position> {
         let held = self.held.get(instance).copied().unwrap_or_default();
         let floor = held.max(after);
-        let wanted = self.pending.iter().map(|p| p.position);
-        wanted.filter(|p| *p > floor).min()
+        let positions = self.pending.iter().map(|p| p.position);
+        positions.filter(|p| *p > floor).min()
     }
 
     /// When the next pending write's time is up.
--- a/crates/policy/src/decision.rs
+++ b/crates/policy/src/decision.rs
@@ -9,7 +9,7 @@
 
 /// Most decisions kept for each group; the oldest give way. At about 300 bytes each it
 /// bounds a group's share of memory to some 40 KB while it holds several failovers.
-pub const KEPT: usize = 128;
+pub const MAX_KEPT: usize = 128;
 
 /// Names the chain of decisions that belong to one change of primary.
 #[derive(
@@ -170,7 +170,7 @@
 impl DecisionLog {
     /// Adds a decision.
     pub fn push(&mut self, decision: Decision) {
-        if self.0.len() == KEPT {
+        if self.0.len() == MAX_KEPT {
             self.0.pop_front();
         }
         self.0.push_back(decision);
--- a/crates/policy/src/failure_detector.rs
+++ b/crates/policy/src/failure_detector.rs
@@ -21,11 +21,11 @@
 
 /// Age up to which a replica's view and a peer's view count. Both are renewed every
 /// [`crate::poll::DOUBT`] during doubt, so that this allows for three lost rounds.
-pub const VIEW_AGE: Span = Span::from_millis(250);
+pub const MAX_REPORT_AGE: Span = Span::from_millis(250);
 
 /// Refused connections in a row that show that the process is gone: one may have met a
 /// listener that was just being opened.
-const REFUSALS: u32 = 2;
+const MIN_REFUSALS: u32 = 2;
 
 /// A primary that proxies reach but no majority of instances hears is replaced after this
 /// many times the usual silence: it cannot have a write confirmed, but a short cut among
@@ -36,62 +36,66 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Reachability {
     /// When its newest answer arrived.
-    pub answered: Option<Time>,
+    pub last_response: Option<Time>,
     /// Start of the oldest question since then that brought no answer.
-    pub asked: Option<Time>,
+    pub unanswered_since: Option<Time>,
     /// Start of the oldest fresh connection since then that brought no answer.
-    pub fresh: Option<Time>,
+    pub fresh_unanswered_since: Option<Time>,
     /// Fresh connections since then that were refused outright.
-    pub refused: u32,
+    pub refusals: u32,
 }
 
 impl Reachability {
     /// Takes in an answer.
-    pub fn answer(&mut self, now: Time) {
+    pub fn record_response(&mut self, now: Time) {
         *self = Self {
-            answered: Some(now),
-            asked: None,
-            fresh: None,
-            refused: 0,
+            last_response: Some(now),
+            unanswered_since: None,
+            fresh_unanswered_since: None,
+            refusals: 0,
         };
     }
 
     /// Takes in a question that is sent.
-    pub fn ask(&mut self, now: Time) {
-        self.asked.get_or_insert(now);
+    pub fn record_query(&mut self, now: Time) {
+        self.unanswered_since.get_or_insert(now);
     }
 
     /// Takes in the start of a fresh connection.
-    pub fn ask_fresh(&mut self, now: Time) {
-        self.ask(now);
-        self.fresh.get_or_insert(now);
+    pub fn record_fresh_query(&mut self, now: Time) {
+        self.record_query(now);
+        self.fresh_unanswered_since.get_or_insert(now);
     }
 
     /// Takes in a fresh connection that was refused: no process listens any more.
-    pub fn refuse(&mut self, asked: Time) {
-        self.ask_fresh(asked);
-        self.refused += 1;
+    pub fn record_refusal(&mut self, sent: Time) {
+        self.record_fresh_query(sent);
+        self.refusals += 1;
     }
 
     /// Time for which questions have gone without an answer. Time in which nothing was
     /// asked does not count: a proxy that was paused must not take its own silence for
     /// that of the primary.
-    pub fn silent(&self, now: Time) -> Span {
-        self.asked.map_or(Span::default(), |at| now.since(at))
+    pub fn unresponsive_for(&self, now: Time) -> Span {
+        self.unanswered_since
+            .map_or(Span::default(), |at| now.since(at))
     }
 
     /// Time since the newest answer.
-    pub fn age(&self, now: Time) -> Option<Span> {
-        self.answered.map(|at| now.since(at))
+    pub fn contact_age(&self, now: Time) -> Option<Span> {
+        self.last_response.map(|at| now.since(at))
     }
 
     /// Whether it is silent, and fresh connections have been tried for half that time.
     ///
     /// A connection that something between the ends has forgotten stays silent for good
     /// while new ones work; so silence on an open connection alone proves nothing.
-    pub fn lost(&self, now: Time, after: Span) -> bool {
-        let half = Span::from_micros(after.as_micros() / 2);
-        self.silent(now) >= after && self.fresh.is_some_and(|at| now.since(at) >= half)
+    pub fn is_lost(&self, now: Time, timeout: Span) -> bool {
+        let half = Span::from_micros(timeout.as_micros() / 2);
+        self.unresponsive_for(now) >= timeout
+            && self
+                .fresh_unanswered_since
+                .is_some_and(|at| now.since(at) >= half)
     }
 }
 
@@ -101,7 +105,7 @@
     /// What it said.
     pub report: PeerReport,
     /// When.
-    pub at: Time,
+    pub received_at: Time,
 }
 
 /// What is known about a primary.
@@ -140,79 +144,83 @@
     /// connections to it hang; where they are refused, the process is gone, and half the
     /// time is enough. A process that restarts within it is replaced without harm, as
     /// its callers have lost their connections anyway.
-    fn patience(&self) -> Span {
-        let after = self.spec.settings.suspect_after;
-        if self.reach.refused >= REFUSALS {
-            Span::from_micros(after.as_micros() / 2)
+    fn failure_timeout(&self) -> Span {
+        let timeout = self.spec.settings.suspect_after;
+        if self.reach.refusals >= MIN_REFUSALS {
+            Span::from_micros(timeout.as_micros() / 2)
         } else {
-            after
+            timeout
         }
     }
 
     /// Judges the primary.
-    pub fn judge(&self) -> Verdict {
-        let after = self.patience();
-        let silent = self.reach.silent(self.now);
-        let long = self.spec.settings.suspect_after.times(ISOLATED_FACTOR);
-        let settled = self.now.since(self.since) >= long;
-        if settled && self.unheard(long).len() >= self.spec.majority() {
+    pub fn verdict(&self) -> Verdict {
+        let timeout = self.failure_timeout();
+        let unresponsive_for = self.reach.unresponsive_for(self.now);
+        let isolated_after = self.spec.settings.suspect_after.times(ISOLATED_FACTOR);
+        let established = self.now.since(self.since) >= isolated_after;
+        if established && self.without_contact(isolated_after).len() >= self.spec.majority() {
             return Verdict::Replace(Cause::Isolated);
         }
-        if silent < PROBE_AFTER {
+        if unresponsive_for < PROBE_AFTER {
             return Verdict::Healthy;
         }
-        if !self.reach.lost(self.now, after) {
+        if !self.reach.is_lost(self.now, timeout) {
             return Verdict::Suspect;
         }
         // Proxies beside the primary share its side of a cut. When no majority of the
         // instances hears it, nothing that they write there could be acknowledged.
-        if let Some(peer) = self.reaching().find(|h| !self.beside(h)) {
+        if let Some(peer) = self.reaching_peers().find(|h| !self.same_data_centre(h)) {
             return Verdict::Forward(peer.report.proxy.clone());
         }
-        if self.unheard(after).len() >= self.spec.majority() {
+        if self.without_contact(timeout).len() >= self.spec.majority() {
             return Verdict::Replace(Cause::Unreachable);
         }
-        match self.reaching().next() {
+        match self.reaching_peers().next() {
             Some(peer) => Verdict::Forward(peer.report.proxy.clone()),
             None => Verdict::Suspect,
         }
     }
 
     /// Whether the peer runs in the primary's data centre.
-    fn beside(&self, heard: &ReceivedReport) -> bool {
+    fn same_data_centre(&self, peer: &ReceivedReport) -> bool {
         let primary = self.spec.members.get(self.primary);
-        primary.is_some_and(|m| m.location.data_centre == heard.report.location.data_centre)
+        primary.is_some_and(|m| m.location.data_centre == peer.report.location.data_centre)
     }
 
     /// Replicas that have not heard the primary for `after`, by their own recent word.
-    fn unheard(&self, after: Span) -> Vec<(&InstanceId, Span)> {
-        let lost = |(id, o): &(&InstanceId, &Observation)| {
+    fn without_contact(&self, timeout: Span) -> Vec<(&InstanceId, Span)> {
+        let no_contact = |(id, o): &(&InstanceId, &Observation)| {
             *id != self.primary
                 && o.status.role == Role::Replica
-                && self.now.since(o.queried_at) <= VIEW_AGE
-                && o.status.contact_age >= after
+                && self.now.since(o.queried_at) <= MAX_REPORT_AGE
+                && o.status.contact_age >= timeout
         };
-        let seen = self.seen.iter().filter(lost);
+        let seen = self.seen.iter().filter(no_contact);
         seen.map(|(id, o)| (id, o.status.contact_age)).collect()
     }
 
-    fn recent(&self) -> impl Iterator<Item = &ReceivedReport> {
+    fn recent_reports(&self) -> impl Iterator<Item = &ReceivedReport> {
         let about = |h: &&ReceivedReport| h.report.primary.as_ref() == Some(self.primary);
-        let recent = |h: &&ReceivedReport| self.now.since(h.at) <= VIEW_AGE;
+        let recent = |h: &&ReceivedReport| self.now.since(h.received_at) <= MAX_REPORT_AGE;
         self.peers.values().filter(about).filter(recent)
     }
 
-    fn reaching(&self) -> impl Iterator<Item = &ReceivedReport> {
-        self.recent().filter(|h| reaches(&h.report))
+    fn reaching_peers(&self) -> impl Iterator<Item = &ReceivedReport> {
+        self.recent_reports().filter(|h| reaches(&h.report))
     }
 
     /// The observations behind the verdict.
     pub fn evidence(&self) -> Vec<Fact> {
-        let own = Fact::Silent(self.primary.clone(), self.reach.silent(self.now));
+        let own = Fact::Silent(self.primary.clone(), self.reach.unresponsive_for(self.now));
         let mut facts = vec![own];
-        let unheard = self.unheard(self.patience());
-        facts.extend(unheard.iter().map(|(i, s)| Fact::Unheard((*i).clone(), *s)));
-        facts.extend(self.recent().map(|h| match h.report.contact_age {
+        let without_contact = self.without_contact(self.failure_timeout());
+        facts.extend(
+            without_contact
+                .iter()
+                .map(|(i, s)| Fact::Unheard((*i).clone(), *s)),
+        );
+        facts.extend(self.recent_reports().map(|h| match h.report.contact_age {
             Some(age) if reaches(&h.report) => Fact::Reached(h.report.proxy.clone(), age),
             _ => Fact::Unreached(h.report.proxy.clone()),
         }));
@@ -222,5 +230,6 @@
 
 /// Whether the speaker reaches the primary: it has a recent answer and waits for none.
 fn reaches(report: &PeerReport) -> bool {
-    report.unresponsive_for < PROBE_AFTER && report.contact_age.is_some_and(|age| age < VIEW_AGE)
+    report.unresponsive_for < PROBE_AFTER
+        && report.contact_age.is_some_and(|age| age < MAX_REPORT_AGE)
 }
--- a/crates/policy/src/group.rs
+++ b/crates/policy/src/group.rs
@@ -57,7 +57,7 @@
 /// Controller of one group on one proxy.
 #[derive(Debug)]
 pub struct Group {
-    me: LocalProxy,
+    local_proxy: LocalProxy,
     spec: Spec,
     rng: SmallRng,
     started: Time,
@@ -67,41 +67,41 @@
     leadership: Leadership,
     change: Change,
     /// The record in the store, as last heard.
-    known: Option<Versioned>,
+    known_record: Option<Versioned>,
     observations: IndexMap<InstanceId, Observation>,
     reachability: IndexMap<InstanceId, Reachability>,
     polls: IndexMap<InstanceId, Poll>,
     loads: IndexMap<InstanceId, Load>,
     /// When each instance was last told to follow.
-    followed: IndexMap<InstanceId, Time>,
-    live: Vec<Peer>,
+    last_follow: IndexMap<InstanceId, Time>,
+    live_proxies: Vec<Peer>,
     reports: IndexMap<ProxyId, ReceivedReport>,
     confirmations: Confirmations,
-    fresh: Freshness,
+    freshness: Freshness,
     waiting: Vec<Waiting>,
     attempt: Option<Attempt>,
     /// When the attempt's stage began.
-    stage: Time,
+    stage_start: Time,
     /// No attempt of our own before this moment: another claimant is at work.
-    yielding: Time,
+    yield_until: Time,
     verdict: Verdict,
     verdict_since: Time,
     /// Since when a majority or the primary itself has promised a later term.
-    deposed: Option<Time>,
+    deposed_since: Option<Time>,
     /// When a request last asked for a route.
-    used: Option<Time>,
-    told: Option<Time>,
-    reading: Option<(QueryId, Time)>,
-    queries: u64,
-    ring: DecisionLog,
-    out: Vec<Action>,
+    last_request: Option<Time>,
+    last_report: Option<Time>,
+    pending_read: Option<(QueryId, Time)>,
+    last_query: u64,
+    decisions: DecisionLog,
+    actions: Vec<Action>,
 }
 
 impl Group {
     /// A controller that knows nothing of the group's state yet.
-    pub fn new(now: Time, me: LocalProxy, spec: Spec, seed: u64) -> Self {
+    pub fn new(now: Time, local_proxy: LocalProxy, spec: Spec, seed: u64) -> Self {
         Self {
-            me,
+            local_proxy,
             spec,
             rng: SmallRng::seed_from_u64(seed),
             started: now,
@@ -111,38 +111,38 @@
                 trace: TraceId::default(),
                 promoted: None,
             },
-            known: None,
+            known_record: None,
             observations: IndexMap::new(),
             reachability: IndexMap::new(),
             polls: IndexMap::new(),
             loads: IndexMap::new(),
-            followed: IndexMap::new(),
-            live: Vec::new(),
+            last_follow: IndexMap::new(),
+            live_proxies: Vec::new(),
             reports: IndexMap::new(),
             confirmations: Confirmations::default(),
-            fresh: Freshness::default(),
+            freshness: Freshness::default(),
             waiting: Vec::new(),
             attempt: None,
-            stage: now,
-            yielding: now,
+            stage_start: now,
+            yield_until: now,
             verdict: Verdict::Healthy,
             verdict_since: now,
-            deposed: None,
-            used: None,
-            told: None,
-            reading: None,
-            queries: 0,
-            ring: DecisionLog::default(),
-            out: Vec::new(),
+            deposed_since: None,
+            last_request: None,
+            last_report: None,
+            pending_read: None,
+            last_query: 0,
+            decisions: DecisionLog::default(),
+            actions: Vec::new(),
         }
     }
 
     /// Takes in one event and gives out what follows from it.
     pub fn step(&mut self, now: Time, event: Event) -> Vec<Action> {
         self.now = now.max(self.now + Span::from_micros(1));
-        self.take(event);
-        self.drive();
-        std::mem::take(&mut self.out)
+        self.handle(event);
+        self.run_due();
+        std::mem::take(&mut self.actions)
     }
 
     /// The newest known primary.
@@ -157,7 +157,7 @@
 
     /// The newest decisions, oldest first.
     pub fn decisions(&self) -> impl Iterator<Item = &Decision> {
-        self.ring.iter()
+        self.decisions.iter()
     }
 
     /// The newest observation of each instance.
@@ -165,11 +165,11 @@
         &self.observations
     }
 
-    fn take(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         match event {
             Event::Tick => {}
             Event::Configure(spec) => self.configure(*spec),
-            Event::Peers(live) => self.live = live,
+            Event::Peers(live) => self.live_proxies = live,
             Event::PeerReport(report) => self.take_report(report),
             Event::Response { query, result } => self.take_response(query, result),
             Event::Store { query, reply } => self.take_store_reply(query, reply),
@@ -195,7 +195,7 @@
             Event::Released { instance } => {
                 self.loads.entry(instance).or_default().release();
             }
-            Event::Failed { instance, failure } => self.take_failed(&instance, failure),
+            Event::Failed { instance, failure } => self.handle_failure(&instance, failure),
         }
     }
 
@@ -211,26 +211,26 @@
     fn take_confirm(&mut self, request: RequestId, point: model::position::Point, deadline: Time) {
         let Some(primary) = self.leadership.primary.clone() else {
             let result = Err(crate::route::Unconfirmed::Replaced);
-            self.out.push(Action::Confirmed { request, result });
+            self.actions.push(Action::Confirmed { request, result });
             return;
         };
         let added = self.confirmations.add(request, point, &primary, deadline);
         if let Err(e) = added {
             let result = Err(e);
-            self.out.push(Action::Confirmed { request, result });
+            self.actions.push(Action::Confirmed { request, result });
         }
     }
 
     fn emit_confirmed(&mut self, outcomes: Vec<confirm::Outcome>) {
         for (request, result) in outcomes {
             if result.is_ok() {
-                self.note_first_ack();
+                self.record_first_ack();
             }
-            self.out.push(Action::Confirmed { request, result });
+            self.actions.push(Action::Confirmed { request, result });
         }
     }
 
-    fn note_first_ack(&mut self) {
+    fn record_first_ack(&mut self) {
         let Some(at) = self.change.promoted.take() else {
             return;
         };
@@ -258,12 +258,12 @@
             evidence,
             ruled_out,
         };
-        self.ring.push(decision.clone());
-        self.out.push(Action::Decided(decision));
+        self.decisions.push(decision.clone());
+        self.actions.push(Action::Decided(decision));
     }
 
     /// Makes a newer primary the one to route to.
-    fn learn(&mut self, term: Term, primary: &InstanceId) {
+    fn set_primary(&mut self, term: Term, primary: &InstanceId) {
         let known = self.leadership.term == term && self.leadership.primary.is_some();
         if term < self.leadership.term || known {
             return;
@@ -275,17 +275,17 @@
         };
         self.verdict = Verdict::Healthy;
         self.verdict_since = self.now;
-        self.deposed = None;
-        self.followed.clear();
+        self.deposed_since = None;
+        self.last_follow.clear();
         let reach = self.reachability.entry(primary.clone()).or_default();
-        (reach.fresh, reach.refused) = (None, 0);
+        (reach.fresh_unanswered_since, reach.refusals) = (None, 0);
         self.change.promoted = Some(self.now);
-        let outcomes = self.confirmations.begin(term);
+        let outcomes = self.confirmations.start_term(term);
         self.emit_confirmed(outcomes);
         for (id, seen) in &self.observations {
             self.confirmations.observe(id, &seen.status);
         }
-        let superseded = |a: &Attempt| a.record.term < term || !a.claimed();
+        let superseded = |a: &Attempt| a.record.term < term || !a.has_claim();
         if self.attempt.as_ref().is_some_and(superseded) {
             self.attempt = None;
         }
@@ -296,17 +296,17 @@
         }
     }
 
-    fn draw(&mut self) -> u64 {
+    fn random(&mut self) -> u64 {
         self.rng.random()
     }
 
-    fn query(&mut self) -> QueryId {
-        self.queries += 1;
-        QueryId(self.queries)
+    fn next_query(&mut self) -> QueryId {
+        self.last_query += 1;
+        QueryId(self.last_query)
     }
 
     fn send(&mut self, instance: &InstanceId, command: Command, channel: Channel) {
-        let query = self.query();
+        let query = self.next_query();
         let reach = self.reachability.entry(instance.clone()).or_default();
         let kind = match &command {
             Command::Status => Kind::Status,
@@ -314,8 +314,8 @@
             Command::Fence(_) | Command::Promote(_) | Command::Follow { .. } => Kind::Order,
         };
         match channel {
-            Channel::Fresh => reach.ask_fresh(self.now),
-            Channel::Persistent if kind == Kind::Status => reach.ask(self.now),
+            Channel::Fresh => reach.record_fresh_query(self.now),
+            Channel::Persistent if kind == Kind::Status => reach.record_query(self.now),
             Channel::Persistent => {}
         }
         let open = Open {
@@ -324,7 +324,7 @@
             kind,
         };
         self.polls.entry(instance.clone()).or_default().sent(open);
-        self.out.push(Action::Command {
+        self.actions.push(Action::Command {
             query,
             instance: instance.clone(),
             command,
@@ -333,8 +333,8 @@
     }
 
     fn query_store(&mut self, request: StoreRequest) -> QueryId {
-        let query = self.query();
-        self.out.push(Action::Store { query, request });
+        let query = self.next_query();
+        self.actions.push(Action::Store { query, request });
         query
     }
 
@@ -347,14 +347,14 @@
         let reach = reach.copied().unwrap_or_default();
         let report = PeerReport {
             group: self.spec.group.clone(),
-            proxy: self.me.id.clone(),
-            location: self.me.location.clone(),
+            proxy: self.local_proxy.id.clone(),
+            location: self.local_proxy.location.clone(),
             term: self.leadership.term,
             primary: self.leadership.primary.clone(),
-            contact_age: reach.age(self.now),
-            unresponsive_for: reach.silent(self.now),
+            contact_age: reach.contact_age(self.now),
+            unresponsive_for: reach.unresponsive_for(self.now),
             wants_reply,
         };
-        self.out.push(Action::Send { to, report });
+        self.actions.push(Action::Send { to, report });
     }
 }
--- a/crates/policy/src/group/repair.rs
+++ b/crates/policy/src/group/repair.rs
@@ -12,13 +12,13 @@
 
 /// Interval at which an instance is told again to follow; a rebuild may take longer, and
 /// the order is repeated without harm.
-const FOLLOW_AGAIN: Span = Span::from_millis(1_000);
+const FOLLOW_RETRY: Span = Span::from_millis(1_000);
 
 /// Head start of each proxy over the next in rank.
 const STAGGER: Span = Span::from_millis(500);
 
 /// Silence of its primary after which a replica is told anew whom to follow.
-const UNHEARD: Span = Span::from_millis(1_500);
+const MAX_CONTACT_AGE: Span = Span::from_millis(1_500);
 
 impl Group {
     /// An old primary that returns still believes that it leads: it is fenced and made to
@@ -27,42 +27,42 @@
         let Some(primary) = self.leadership.primary.clone() else {
             return;
         };
-        if self.verdict != Verdict::Healthy || self.deposed.is_some() {
+        if self.verdict != Verdict::Healthy || self.deposed_since.is_some() {
             return;
         }
-        let turn = STAGGER.times(self.rank());
-        let promoter = self.attempt.is_some();
-        if !promoter && self.now.since(self.leadership.since) < turn {
+        let stagger = STAGGER.times(self.rank());
+        let promoting = self.attempt.is_some();
+        if !promoting && self.now.since(self.leadership.since) < stagger {
             return;
         }
-        let strays = self.observations.iter();
-        let strays = strays.filter(|(id, o)| **id != primary && self.astray(id, o));
-        let strays: Vec<_> = strays
+        let detached = self.observations.iter();
+        let detached = detached.filter(|(id, o)| **id != primary && self.needs_follow(id, o));
+        let detached: Vec<_> = detached
             .map(|(id, o)| (id.clone(), o.status.clone()))
             .collect();
-        for (id, status) in strays {
-            self.bring_in(&id, &primary, &status);
+        for (id, status) in detached {
+            self.send_follow(&id, &primary, &status);
         }
     }
 
-    fn astray(&self, id: &InstanceId, seen: &Observation) -> bool {
+    fn needs_follow(&self, id: &InstanceId, seen: &Observation) -> bool {
         let status = &seen.status;
         // A later promise is another claimant's business.
         if status.fenced > self.leadership.term {
             return false;
         }
         let behind = status.fenced < self.leadership.term || status.term() < self.leadership.term;
-        let unheard = status.contact_age >= UNHEARD;
-        let astray = status.role == Role::Primary || behind || unheard;
-        let last = self.followed.get(id);
-        astray && last.is_none_or(|at| self.now.since(*at) >= FOLLOW_AGAIN)
+        let no_contact = status.contact_age >= MAX_CONTACT_AGE;
+        let detached = status.role == Role::Primary || behind || no_contact;
+        let last = self.last_follow.get(id);
+        detached && last.is_none_or(|at| self.now.since(*at) >= FOLLOW_RETRY)
     }
 
-    fn bring_in(&mut self, id: &InstanceId, primary: &InstanceId, status: &Status) {
+    fn send_follow(&mut self, id: &InstanceId, primary: &InstanceId, status: &Status) {
         let trace = self.change.trace;
-        let first = !self.followed.contains_key(id);
-        self.followed.insert(id.clone(), self.now);
-        if let (true, Some(shared)) = (first, self.shared(status)) {
+        let first = !self.last_follow.contains_key(id);
+        self.last_follow.insert(id.clone(), self.now);
+        if let (true, Some(shared)) = (first, self.divergence(status)) {
             let what = What::Diverged {
                 instance: id.clone(),
                 shared,
@@ -81,7 +81,7 @@
     }
 
     /// Last position that a log shares with the primary's, if it goes on beyond.
-    fn shared(&self, status: &Status) -> Option<Position> {
+    fn divergence(&self, status: &Status) -> Option<Position> {
         let primary = self.observations.get(self.leadership.primary.as_ref()?)?;
         let later = |term: Term| {
             let starts = primary.status.history.starts().iter();
--- a/crates/policy/src/group/responses.rs
+++ b/crates/policy/src/group/responses.rs
@@ -21,7 +21,7 @@
         let reach = self.reachability.entry(instance.clone()).or_default();
         match result {
             Ok(status) => {
-                reach.answer(self.now);
+                reach.record_response(self.now);
                 let seen = Observation {
                     status,
                     queried_at: open.asked,
@@ -30,8 +30,8 @@
                 self.observe(&instance, seen);
             }
             // The silence goes on.
-            Err(Failure::Refused) => reach.refuse(open.asked),
-            Err(Failure::Broken) => reach.ask_fresh(open.asked),
+            Err(Failure::Refused) => reach.record_refusal(open.asked),
+            Err(Failure::Broken) => reach.record_fresh_query(open.asked),
             Err(Failure::Silent | Failure::ReadOnly | Failure::Protocol) => {}
         }
     }
@@ -39,7 +39,7 @@
     fn observe(&mut self, instance: &InstanceId, seen: Observation) {
         let status = seen.status.clone();
         if status.leads() {
-            self.learn(status.term(), instance);
+            self.set_primary(status.term(), instance);
         }
         self.confirmations.observe(instance, &status);
         // Answers overtake each other on different connections; only a question that was
@@ -53,19 +53,19 @@
         }
         if let Some(primary) = &self.leadership.primary {
             let majority = self.spec.majority();
-            self.fresh
+            self.freshness
                 .observe(self.leadership.term, primary, &self.observations, majority);
         }
         let now = self.now;
         let spec = &self.spec;
         let attempt = self.attempt.as_mut();
         let progress = attempt.and_then(|a| a.observe(now, spec, instance, &status));
-        self.progress(progress);
+        self.apply_progress(progress);
     }
 
     pub(super) fn take_store_reply(&mut self, query: QueryId, reply: StoreReply) {
-        if self.reading.is_some_and(|(q, _)| q == query) {
-            self.reading = None;
+        if self.pending_read.is_some_and(|(q, _)| q == query) {
+            self.pending_read = None;
             if let StoreReply::Found(found) = reply {
                 self.take_record(found);
             }
@@ -74,61 +74,66 @@
         let now = self.now;
         let attempt = self.attempt.as_mut();
         let progress = attempt.and_then(|a| a.take_store_reply(now, query, reply));
-        self.progress(progress);
+        self.apply_progress(progress);
     }
 
     /// News of the record; older news than what is known changes nothing.
     pub(super) fn take_record(&mut self, found: Versioned) {
         let newer = |k: &Versioned| found.revision >= k.revision;
-        if !self.known.as_ref().is_none_or(newer) {
+        if !self.known_record.as_ref().is_none_or(newer) {
             return;
         }
         match &found.record {
-            None => self.learn_declared(),
+            None => self.set_declared_primary(),
             Some(record) => {
                 if let Some(primary) = record.primary.clone() {
-                    self.learn(record.term, &primary);
+                    self.set_primary(record.term, &primary);
                 }
             }
         }
-        self.known = Some(found);
+        self.known_record = Some(found);
     }
 
     /// Without a record no term was ever claimed: the first declared instance leads term 1.
-    fn learn_declared(&mut self) {
+    fn set_declared_primary(&mut self) {
         if let Some(first) = self.spec.members.keys().next().cloned() {
-            self.learn(Term(1), &first);
+            self.set_primary(Term(1), &first);
         }
     }
 
     pub(super) fn take_report(&mut self, report: PeerReport) {
         if let Some(primary) = &report.primary {
-            self.learn(report.term, primary);
+            self.set_primary(report.term, primary);
         }
         let behind = report.term < self.leadership.term;
         if report.wants_reply || behind {
             self.send_report(Recipients::One(report.proxy.clone()), false);
         }
-        let at = self.now;
-        self.reports
-            .insert(report.proxy.clone(), ReceivedReport { report, at });
+        let received_at = self.now;
+        self.reports.insert(
+            report.proxy.clone(),
+            ReceivedReport {
+                report,
+                received_at,
+            },
+        );
     }
 
     /// Follows up on what became of the attempt's step.
-    pub(super) fn progress(&mut self, progress: Option<Progress>) {
+    pub(super) fn apply_progress(&mut self, progress: Option<Progress>) {
         let Some(progress) = progress else {
             return;
         };
         let trace = self.attempt.as_ref().map(|a| a.trace).unwrap_or_default();
         match progress {
-            Progress::Claimed => self.ended(Phase::Claim, What::Claimed, vec![], vec![]),
+            Progress::Claimed => self.end_stage(Phase::Claim, What::Claimed, vec![], vec![]),
             Progress::Chosen(Choice {
                 instance,
                 evidence,
                 ruled_out,
-            }) => self.ended(Phase::Fence, What::Chosen(instance), evidence, ruled_out),
+            }) => self.end_stage(Phase::Fence, What::Chosen(instance), evidence, ruled_out),
             Progress::Promoted(primary) => {
-                self.ended(
+                self.end_stage(
                     Phase::Promote,
                     What::Promoted(primary.clone()),
                     vec![],
@@ -139,16 +144,16 @@
                 self.send_report(Recipients::All, false);
             }
             Progress::Published(primary, versioned) => {
-                self.ended(Phase::Publish, What::Published(primary), vec![], vec![]);
+                self.end_stage(Phase::Publish, What::Published(primary), vec![], vec![]);
                 self.attempt = None;
                 self.take_record(versioned);
             }
-            Progress::Superseded(found) => self.superseded(found),
+            Progress::Superseded(found) => self.handle_superseded(found),
             Progress::Fenced(instance, term) => {
                 let fact = vec![Fact::Fenced(instance, term)];
                 self.decide(What::Abandoned, trace, None, fact, vec![]);
                 self.attempt = None;
-                self.give_way();
+                self.back_off();
             }
             Progress::TimedOut(instance) => {
                 let fact = vec![Fact::NoAnswer(instance)];
@@ -159,30 +164,30 @@
     }
 
     /// Records a decision that ends a stage; the next stage began at this moment.
-    fn ended(&mut self, phase: Phase, what: What, evidence: Vec<Fact>, ruled_out: Vec<Fact>) {
+    fn end_stage(&mut self, phase: Phase, what: What, evidence: Vec<Fact>, ruled_out: Vec<Fact>) {
         let Some(attempt) = &self.attempt else {
             return;
         };
-        let (trace, began) = (attempt.trace, self.stage);
+        let (trace, began) = (attempt.trace, self.stage_start);
         let took = self.now.since(began);
-        self.stage = self.now;
+        self.stage_start = self.now;
         self.decide(what, trace, Some((phase, took)), evidence, ruled_out);
     }
 
     /// The record was newer than the claim's basis. When it only tells of a promotion that
     /// is over, the next claim goes on top of it at once; when another claimant is at
     /// work, it gets the time to finish.
-    fn superseded(&mut self, found: Versioned) {
+    fn handle_superseded(&mut self, found: Versioned) {
         let attempt = self.attempt.take();
         let record = found.record.clone();
         let finished =
             |r: &crate::leadership::Record| r.primary.is_some() && r.term <= self.leadership.term;
-        let own = |r: &crate::leadership::Record| r.claimant == self.me.id;
+        let own = |r: &crate::leadership::Record| r.claimant == self.local_proxy.id;
         let over = record.as_ref().is_none_or(|r| finished(r) || own(r));
         if let (false, Some(record), Some(attempt)) = (over, &record, attempt) {
             let what = What::Outrun(record.claimant.clone());
             self.decide(what, attempt.trace, None, vec![], vec![]);
-            self.give_way();
+            self.back_off();
         }
         self.take_record(found);
     }
--- a/crates/policy/src/group/step.rs
+++ b/crates/policy/src/group/step.rs
@@ -19,50 +19,50 @@
 /// Proxies that prepare connections for orders as soon as they doubt the primary. Only
 /// the first in rank usually needs them, and a backend server has some 20 connections for
 /// the whole fleet.
-const PREPARING: u64 = 2;
+const PREPARING_PROXIES: u64 = 2;
 
 /// Time that another claimant gets to finish before the next term is claimed. A whole
 /// attempt takes some 200 ms between regions; a claimant that was killed or paused costs
 /// this much of the write gap.
-const TAKE_OVER: Span = Span::from_millis(500);
+const CLAIMANT_TIMEOUT: Span = Span::from_millis(500);
 
 /// Time for which polls stay dense after a request.
-const BUSY_FOR: Span = Span::from_millis(1_000);
+const BUSY_PERIOD: Span = Span::from_millis(1_000);
 
 /// Interval at which the record is read again while it is needed and not known.
-const READ_AGAIN: Span = Span::from_millis(500);
+const READ_RETRY: Span = Span::from_millis(500);
 
 /// Longest single wait of an instance for a position; afterwards it is asked anew, so that
 /// a lost answer does not hold up a confirmation. It lies well below [`crate::failure_detector::DOUBT_AFTER`]
 /// because status questions queue behind it on the same connection.
-const WAIT: Span = Span::from_millis(50);
+const MAX_WAIT: Span = Span::from_millis(50);
 
 impl Group {
-    pub(super) fn drive(&mut self) {
+    pub(super) fn run_due(&mut self) {
         for poll in self.polls.values_mut() {
             poll.expire(self.now);
         }
         self.read_record();
-        self.judge();
-        self.replace();
+        self.evaluate_primary();
+        self.run_attempt();
         self.repair();
-        self.serve_waiting();
-        self.poll();
-        self.settle();
+        self.route_waiting();
+        self.poll_instances();
+        self.settle_confirmations();
     }
 
     /// A proxy that starts reads the record once; afterwards it hears of changes from the
     /// instances and from other proxies, which spares the store.
     fn read_record(&mut self) {
-        if self.known.is_some() {
+        if self.known_record.is_some() {
             return;
         }
-        let open = |at| self.now.since(at) < READ_AGAIN;
-        if self.reading.is_some_and(|(_, at)| open(at)) {
+        let open = |at| self.now.since(at) < READ_RETRY;
+        if self.pending_read.is_some_and(|(_, at)| open(at)) {
             return;
         }
         let query = self.query_store(StoreRequest::Read);
-        self.reading = Some((query, self.now));
+        self.pending_read = Some((query, self.now));
     }
 
     fn primary_view<'a>(&'a self, primary: &'a InstanceId) -> PrimaryView<'a> {
@@ -77,33 +77,35 @@
         }
     }
 
-    fn judge(&mut self) {
-        self.judge_deposed();
+    fn evaluate_primary(&mut self) {
+        self.check_deposed();
         let Some(primary) = self.leadership.primary.clone() else {
             return;
         };
         let leaving = self.spec.members.get(&primary).is_none_or(|m| m.leaving);
-        let view = self.primary_view(&primary);
-        let verdict = match view.judge() {
+        let primary_view = self.primary_view(&primary);
+        let verdict = match primary_view.verdict() {
             Verdict::Healthy if leaving => Verdict::Replace(Cause::Leaving),
             verdict => verdict,
         };
-        let evidence = view.evidence();
+        let evidence = primary_view.evidence();
         if verdict != self.verdict {
-            self.enter(verdict, &primary, evidence);
+            self.set_verdict(verdict, &primary, evidence);
         }
-        let doubt = !matches!(
+        let suspected = !matches!(
             self.verdict,
             Verdict::Healthy | Verdict::Replace(Cause::Leaving)
         );
-        let told = self.told.is_some_and(|at| self.now.since(at) < poll::DOUBT);
-        if doubt && !told {
-            self.told = Some(self.now);
+        let reported = self
+            .last_report
+            .is_some_and(|at| self.now.since(at) < poll::DOUBT);
+        if suspected && !reported {
+            self.last_report = Some(self.now);
             self.send_report(Recipients::All, true);
         }
     }
 
-    fn enter(&mut self, verdict: Verdict, primary: &InstanceId, evidence: Vec<Fact>) {
+    fn set_verdict(&mut self, verdict: Verdict, primary: &InstanceId, evidence: Vec<Fact>) {
         let trace = self.change.trace;
         let what = match &verdict {
             Verdict::Healthy => What::Cleared(primary.clone()),
@@ -113,20 +115,20 @@
         };
         let phase = matches!(verdict, Verdict::Replace(_)).then(|| {
             let reach = self.reachability.get(primary).copied().unwrap_or_default();
-            (Phase::Detect, reach.silent(self.now))
+            (Phase::Detect, reach.unresponsive_for(self.now))
         });
-        let doubt = verdict == Verdict::Suspect;
+        let suspected = verdict == Verdict::Suspect;
         self.verdict = verdict;
         self.verdict_since = self.now;
-        if doubt && self.rank() < PREPARING {
-            self.prepare(primary);
+        if suspected && self.rank() < PREPARING_PROXIES {
+            self.prepare_connections(primary);
         }
         self.decide(what, trace, phase, evidence, vec![]);
     }
 
     /// Asks the other instances on fresh connections, which the fence then reuses: to
     /// another region opening one costs two round trips and the server's own time.
-    fn prepare(&mut self, primary: &InstanceId) {
+    fn prepare_connections(&mut self, primary: &InstanceId) {
         let others = self.spec.members.keys().filter(|id| *id != primary);
         let others: Vec<_> = others.cloned().collect();
         for other in others {
@@ -136,7 +138,7 @@
 
     /// A later promise of the primary, or of a majority, means that a claim is being
     /// carried out, or was left half done.
-    fn judge_deposed(&mut self) {
+    fn check_deposed(&mut self) {
         let later = |id: &InstanceId| {
             let seen = self.observations.get(id);
             seen.is_some_and(|o| o.status.fenced > self.leadership.term)
@@ -144,79 +146,79 @@
         let primary = self.leadership.primary.as_ref().is_some_and(later);
         let count = self.spec.members.keys().filter(|id| later(id)).count();
         if primary || count >= self.spec.majority() {
-            self.deposed.get_or_insert(self.now);
+            self.deposed_since.get_or_insert(self.now);
         } else {
-            self.deposed = None;
+            self.deposed_since = None;
         }
     }
 
     pub(super) fn rank(&self) -> u64 {
         let me = Peer {
-            id: self.me.id.clone(),
-            location: self.me.location.clone(),
+            id: self.local_proxy.id.clone(),
+            location: self.local_proxy.location.clone(),
         };
         let primary = self.leadership.primary.as_ref();
         let member = primary.and_then(|p| self.spec.members.get(p));
-        let beside = member.map(|m| &m.location.data_centre);
-        rank::rank(&self.spec.group, &me, &self.live, beside)
+        let lost = member.map(|m| &m.location.data_centre);
+        rank::rank(&self.spec.group, &me, &self.live_proxies, lost)
     }
 
     /// The reason for an attempt of our own, once it is this proxy's turn.
-    fn due(&self) -> Option<Cause> {
-        if self.now < self.yielding {
+    fn due_cause(&self) -> Option<Cause> {
+        if self.now < self.yield_until {
             return None;
         }
-        let turn = STAGGER.times(self.rank());
-        if let Some(since) = self.deposed {
-            let ripe = Span::from_micros(TAKE_OVER.as_micros() + turn.as_micros());
-            return (self.now.since(since) >= ripe).then_some(Cause::Abandoned);
+        let stagger = STAGGER.times(self.rank());
+        if let Some(since) = self.deposed_since {
+            let due = Span::from_micros(CLAIMANT_TIMEOUT.as_micros() + stagger.as_micros());
+            return (self.now.since(since) >= due).then_some(Cause::Abandoned);
         }
-        let ripe = self.now.since(self.verdict_since) >= turn;
+        let due = self.now.since(self.verdict_since) >= stagger;
         match self.verdict {
-            Verdict::Replace(cause) if ripe => Some(cause),
+            Verdict::Replace(cause) if due => Some(cause),
             _ => None,
         }
     }
 
-    fn replace(&mut self) {
-        self.drop_idle_attempt();
+    fn run_attempt(&mut self) {
+        self.drop_obsolete_attempt();
         if self.attempt.is_none()
-            && let Some(cause) = self.due()
+            && let Some(cause) = self.due_cause()
         {
-            self.begin_attempt(cause);
+            self.start_attempt(cause);
         }
         let now = self.now;
         let progress = self.attempt.as_ref().and_then(|a| a.timed_out(now));
-        self.progress(progress);
+        self.apply_progress(progress);
         self.send_requests();
     }
 
-    fn begin_attempt(&mut self, cause: Cause) {
-        let nonce = self.draw();
-        let floor = self.floor();
-        let known = self.known.as_ref();
-        let me = &self.me.id;
+    fn start_attempt(&mut self, cause: Cause) {
+        let nonce = self.random();
+        let floor = self.highest_term();
+        let known = self.known_record.as_ref();
+        let me = &self.local_proxy.id;
         let attempt = Attempt::new(self.now, me, cause, known, floor, nonce);
         self.attempt = Some(attempt);
-        self.stage = self.now;
+        self.stage_start = self.now;
     }
 
     /// Before the claim nothing has happened yet: a primary that answers again stays. A
     /// published attempt whose primary failed in turn gives way to the next one.
-    fn drop_idle_attempt(&mut self) {
+    fn drop_obsolete_attempt(&mut self) {
         let Some(attempt) = &self.attempt else {
             return;
         };
         let published = matches!(attempt.step, crate::promote::Step::Publishing(_));
-        let stays = self.due().is_none() && self.now >= self.yielding;
-        let again = published && matches!(self.verdict, Verdict::Replace(_));
-        if (!attempt.claimed() && stays) || again {
+        let stays = self.due_cause().is_none() && self.now >= self.yield_until;
+        let failed_again = published && matches!(self.verdict, Verdict::Replace(_));
+        if (!attempt.has_claim() && stays) || failed_again {
             self.attempt = None;
         }
     }
 
     /// Highest term that was heard of anywhere.
-    fn floor(&self) -> Term {
+    fn highest_term(&self) -> Term {
         let seen = self
             .observations
             .values()
@@ -224,9 +226,9 @@
         seen.max().unwrap_or_default().max(self.leadership.term)
     }
 
-    pub(super) fn give_way(&mut self) {
-        let jitter = self.draw() % TAKE_OVER.as_micros();
-        self.yielding = self.now + TAKE_OVER + Span::from_micros(jitter);
+    pub(super) fn back_off(&mut self) {
+        let jitter = self.random() % CLAIMANT_TIMEOUT.as_micros();
+        self.yield_until = self.now + CLAIMANT_TIMEOUT + Span::from_micros(jitter);
     }
 
     fn send_requests(&mut self) {
@@ -247,11 +249,13 @@
         }
     }
 
-    fn poll(&mut self) {
-        let doubt = self.verdict != Verdict::Healthy || self.deposed.is_some();
-        let busy = self.used.is_some_and(|at| self.now.since(at) < BUSY_FOR);
-        let news = self.wants_news();
-        let every = match (news.is_some(), busy, doubt) {
+    fn poll_instances(&mut self) {
+        let suspected = self.verdict != Verdict::Healthy || self.deposed_since.is_some();
+        let busy = self
+            .last_request
+            .is_some_and(|at| self.now.since(at) < BUSY_PERIOD);
+        let unproven = self.unproven_since();
+        let every = match (unproven.is_some(), busy, suspected) {
             (true, ..) => poll::NEWS,
             (_, true, _) => poll::BUSY,
             (_, _, true) => poll::DOUBT,
@@ -260,7 +264,7 @@
         let members: Vec<_> = self.spec.members.keys().cloned().collect();
         for member in members {
             let poll = self.polls.entry(member.clone()).or_default();
-            let stale = news.is_some_and(|since| poll.stale(self.now, since));
+            let stale = unproven.is_some_and(|since| poll.stale(self.now, since));
             let due = match poll.due(self.now, every) {
                 Due::Nothing if stale => Due::Steady,
                 due => due,
@@ -273,18 +277,22 @@
         }
     }
 
-    fn settle(&mut self) {
-        let weak = self.spec.settings.acknowledge == model::settings::Acknowledge::Primary;
-        let majority = if weak { 1 } else { self.spec.majority() };
+    fn settle_confirmations(&mut self) {
+        let primary_only = self.spec.settings.acknowledge == model::settings::Acknowledge::Primary;
+        let majority = if primary_only {
+            1
+        } else {
+            self.spec.majority()
+        };
         let outcomes = self.confirmations.settle(self.now, majority);
         self.emit_confirmed(outcomes);
         let members: Vec<_> = self.spec.members.keys().cloned().collect();
         for member in members {
             let after = self.polls.get(&member).map(|p| p.waited());
-            let wanted = self
+            let position = self
                 .confirmations
-                .wanted(&member, after.unwrap_or_default());
-            if let Some(position) = wanted {
+                .next_wait(&member, after.unwrap_or_default());
+            if let Some(position) = position {
                 self.wait_for(&member, position);
             }
         }
@@ -293,7 +301,7 @@
     fn wait_for(&mut self, member: &InstanceId, position: Position) {
         let command = Command::Wait {
             position,
-            timeout: WAIT,
+            timeout: MAX_WAIT,
         };
         self.send(member, command, Channel::Persistent);
     }
--- a/crates/policy/src/group/waiting.rs
+++ b/crates/policy/src/group/waiting.rs
@@ -18,19 +18,19 @@
 
 /// Longest time that a request waits for a primary or a fresh instance. The slowest
 /// change of primary aimed at takes 3 s; after that nothing says when the next will come.
-const LONGEST: Span = Span::from_millis(3_000);
+const MAX_WAIT: Span = Span::from_millis(3_000);
 
 /// Time after the start in which the instances may still be unknown.
-const STARTING: Span = Span::from_millis(1_000);
+const STARTUP_PERIOD: Span = Span::from_millis(1_000);
 
 /// Silence after which an instance counts as out of reach. It is longer than a stall.
-const OUT_OF_REACH: Span = Span::from_millis(1_000);
+const UNREACHABLE_AFTER: Span = Span::from_millis(1_000);
 
 /// When to try again after a refusal: most changes of primary are over within it.
 const RETRY: Span = Span::from_millis(1_000);
 
 #[derive(Clone, Copy, Debug)]
-enum Want {
+enum Access {
     Write(Option<Point>),
     Read(ReadNeed),
 }
@@ -39,7 +39,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Waiting {
     request: RequestId,
-    want: Want,
+    access: Access,
     arrived: Time,
     deadline: Time,
 }
@@ -53,7 +53,7 @@
     ) -> Self {
         Self {
             request,
-            want: Want::Write(point),
+            access: Access::Write(point),
             arrived: now,
             deadline,
         }
@@ -62,7 +62,7 @@
     pub(super) fn read(request: RequestId, need: ReadNeed, now: Time, deadline: Time) -> Self {
         Self {
             request,
-            want: Want::Read(need),
+            access: Access::Read(need),
             arrived: now,
             deadline,
         }
@@ -71,19 +71,19 @@
 
 impl Group {
     pub(super) fn enqueue(&mut self, waiting: Waiting) {
-        self.used = Some(self.now);
+        self.last_request = Some(self.now);
         if self.waiting.len() >= self.spec.settings.queue as usize {
             let result = Err(Refusal::Crowded { retry: RETRY });
             let request = waiting.request;
-            self.out.push(Action::Routed { request, result });
+            self.actions.push(Action::Routed { request, result });
             return;
         }
         self.waiting.push(waiting);
     }
 
-    pub(super) fn serve_waiting(&mut self) {
+    pub(super) fn route_waiting(&mut self) {
         for waiting in std::mem::take(&mut self.waiting) {
-            match self.serve(&waiting) {
+            match self.route(&waiting) {
                 None => self.waiting.push(waiting),
                 Some(result) => {
                     if let Ok(target) = &result {
@@ -91,36 +91,36 @@
                         load.outstanding += 1;
                     }
                     let request = waiting.request;
-                    self.out.push(Action::Routed { request, result });
+                    self.actions.push(Action::Routed { request, result });
                 }
             }
         }
     }
 
-    fn serve(&self, waiting: &Waiting) -> Option<Result<Target, Refusal>> {
-        let served = match waiting.want {
-            Want::Write(point) => self.serve_write(point),
-            Want::Read(need) => self.serve_read(need, waiting.arrived),
+    fn route(&self, waiting: &Waiting) -> Option<Result<Target, Refusal>> {
+        let result = match waiting.access {
+            Access::Write(point) => self.route_write(point),
+            Access::Read(need) => self.route_read(need, waiting.arrived),
         };
         let waited = self.now.since(waiting.arrived);
-        let over = self.now >= waiting.deadline || waited >= LONGEST;
-        match (served, waiting.want) {
-            (None, Want::Write(_)) if over => Some(Err(Refusal::NoPrimary { retry: RETRY })),
-            (None, Want::Read(_)) if over => Some(Err(Refusal::NoneFresh { retry: RETRY })),
-            (served, _) => served,
+        let expired = self.now >= waiting.deadline || waited >= MAX_WAIT;
+        match (result, waiting.access) {
+            (None, Access::Write(_)) if expired => Some(Err(Refusal::NoPrimary { retry: RETRY })),
+            (None, Access::Read(_)) if expired => Some(Err(Refusal::NoneFresh { retry: RETRY })),
+            (result, _) => result,
         }
     }
 
     /// A proxy that knows only an older term than the session's waits for news: under the
     /// older term the session would not see its own writes.
-    fn serve_write(&self, point: Option<Point>) -> Option<Result<Target, Refusal>> {
-        if self.hopeless() {
+    fn route_write(&self, point: Option<Point>) -> Option<Result<Target, Refusal>> {
+        if self.lacks_majority() {
             return Some(Err(Refusal::NoMajority { retry: RETRY }));
         }
         if point.is_some_and(|p| p.term > self.leadership.term) {
             return None;
         }
-        let primary = self.serving()?;
+        let primary = self.usable_primary()?;
         let via = match &self.verdict {
             Verdict::Forward(peer) => Some(peer.clone()),
             _ => None,
@@ -131,60 +131,65 @@
     }
 
     /// The primary, unless it is in doubt, or something has promised a later term.
-    fn serving(&self) -> Option<&InstanceId> {
+    fn usable_primary(&self) -> Option<&InstanceId> {
         let primary = self.leadership.primary.as_ref()?;
         let reach = self.reachability.get(primary).copied().unwrap_or_default();
-        let answers = reach.silent(self.now) < PROBE_AFTER;
-        let forward = matches!(self.verdict, Verdict::Forward(_));
-        (self.deposed.is_none() && (answers || forward)).then_some(primary)
+        let responds = reach.unresponsive_for(self.now) < PROBE_AFTER;
+        let forwarded = matches!(self.verdict, Verdict::Forward(_));
+        (self.deposed_since.is_none() && (responds || forwarded)).then_some(primary)
     }
 
     /// Whether most instances have been out of reach for so long that no write could be
     /// confirmed and no promotion could succeed.
-    fn hopeless(&self) -> bool {
-        if self.now.since(self.started) < STARTING {
+    fn lacks_majority(&self) -> bool {
+        if self.now.since(self.started) < STARTUP_PERIOD {
             return false;
         }
-        let lost = |id| {
+        let unreachable = |id| {
             let reach = self.reachability.get(id).copied().unwrap_or_default();
-            reach.answered.is_none() || reach.silent(self.now) >= OUT_OF_REACH
+            reach.last_response.is_none() || reach.unresponsive_for(self.now) >= UNREACHABLE_AFTER
         };
-        let lost = self.spec.members.keys().filter(|id| lost(*id)).count();
-        self.spec.members.len() - lost < self.spec.majority()
+        let unreachable = self
+            .spec
+            .members
+            .keys()
+            .filter(|id| unreachable(*id))
+            .count();
+        self.spec.members.len() - unreachable < self.spec.majority()
     }
 
-    fn serve_read(&self, need: ReadNeed, arrived: Time) -> Option<Result<Target, Refusal>> {
+    fn route_read(&self, need: ReadNeed, arrived: Time) -> Option<Result<Target, Refusal>> {
         // An instance that does not answer holds up a read for longer than any queue.
-        let answers = |id: &InstanceId| {
+        let responds = |id: &InstanceId| {
             let reach = self.reachability.get(id).copied().unwrap_or_default();
-            reach.silent(self.now) < PROBE_AFTER
+            reach.unresponsive_for(self.now) < PROBE_AFTER
         };
         let seen = self
             .observations
             .iter()
-            .filter(|(id, _)| answers(id))
+            .filter(|(id, _)| responds(id))
             .collect();
         let choice = Choice {
             now: self.now,
             arrived,
             need,
-            here: &self.me.location,
+            here: &self.local_proxy.location,
             spec: &self.spec,
             term: self.leadership.term,
             primary: self
                 .leadership
                 .primary
                 .as_ref()
-                .filter(|_| self.deposed.is_none()),
+                .filter(|_| self.deposed_since.is_none()),
             seen,
             loads: &self.loads,
-            fresh: &self.fresh,
+            fresh: &self.freshness,
         };
         match choice.pick() {
             Pick::Go(instance, point) => self.target(&instance, point).map(Ok),
             Pick::Forked(point) => Some(Err(Refusal::Forked { point })),
             // In a data centre that is cut off no fresher state will arrive for now.
-            Pick::Wait if self.hopeless() => Some(Err(Refusal::NoneFresh { retry: RETRY })),
+            Pick::Wait if self.lacks_majority() => Some(Err(Refusal::NoneFresh { retry: RETRY })),
             Pick::Wait => None,
         }
     }
@@ -205,16 +210,16 @@
 
     /// Arrival of the newest read that waits for proof, if any: instances are asked at
     /// once, and one round of questions serves every read that arrived before it.
-    pub(super) fn wants_news(&self) -> Option<Time> {
-        let unproven = |w: &&Waiting| match w.want {
-            Want::Write(point) => point.is_some_and(|p| p.term > self.leadership.term),
-            Want::Read(_) => true,
+    pub(super) fn unproven_since(&self) -> Option<Time> {
+        let unproven = |w: &&Waiting| match w.access {
+            Access::Write(point) => point.is_some_and(|p| p.term > self.leadership.term),
+            Access::Read(_) => true,
         };
         let waiting = self.waiting.iter().filter(unproven);
         waiting.map(|w| w.arrived).max()
     }
 
-    pub(super) fn take_failed(&mut self, instance: &InstanceId, failure: Failure) {
+    pub(super) fn handle_failure(&mut self, instance: &InstanceId, failure: Failure) {
         self.loads.entry(instance.clone()).or_default().release();
         let refused = matches!(
             failure,
--- a/crates/policy/src/node.rs
+++ b/crates/policy/src/node.rs
@@ -36,31 +36,31 @@
 /// Every controller of one proxy.
 #[derive(Debug)]
 pub struct Node {
-    me: LocalProxy,
+    local_proxy: LocalProxy,
     seed: u64,
     groups: IndexMap<GroupId, Group>,
-    live: Vec<Peer>,
+    live_proxies: Vec<Peer>,
 }
 
 impl Node {
     /// A node without groups; `seed` is the only source of randomness.
-    pub fn new(me: LocalProxy, seed: u64) -> Self {
+    pub fn new(local_proxy: LocalProxy, seed: u64) -> Self {
         Self {
-            me,
+            local_proxy,
             seed,
             groups: IndexMap::new(),
-            live: Vec::new(),
+            live_proxies: Vec::new(),
         }
     }
 
     /// Takes in one input and gives out what follows from it.
     pub fn step(&mut self, now: Time, input: Input) -> Vec<Output> {
         match input {
-            Input::Tick => self.each(now, &Event::Tick),
+            Input::Tick => self.step_all(now, &Event::Tick),
             Input::Configure(fleet) => self.configure(now, &fleet),
             Input::Peers(live) => {
-                self.live.clone_from(&live);
-                self.each(now, &Event::Peers(live))
+                self.live_proxies.clone_from(&live);
+                self.step_all(now, &Event::Peers(live))
             }
             Input::Group(group, event) => match self.groups.get_mut(&group) {
                 Some(controller) => outputs(&group, controller.step(now, event)),
@@ -74,7 +74,7 @@
         self.groups.get(group)
     }
 
-    fn each(&mut self, now: Time, event: &Event) -> Vec<Output> {
+    fn step_all(&mut self, now: Time, event: &Event) -> Vec<Output> {
         let mut out = Vec::new();
         for (id, group) in &mut self.groups {
             out.extend(outputs(id, group.step(now, event.clone())));
@@ -94,20 +94,23 @@
                     let event = Event::Configure(Box::new(spec));
                     out.extend(outputs(id, group.step(now, event)));
                 }
-                None => out.extend(self.begin(now, spec)),
+                None => out.extend(self.add_group(now, spec)),
             }
         }
         out
     }
 
-    fn begin(&mut self, now: Time, spec: Spec) -> Vec<Output> {
+    fn add_group(&mut self, now: Time, spec: Spec) -> Vec<Output> {
         let id = spec.group.clone();
         self.seed = self
             .seed
             .wrapping_mul(6_364_136_223_846_793_005)
             .wrapping_add(1);
-        let mut group = Group::new(now, self.me.clone(), spec, self.seed);
-        let out = outputs(&id, group.step(now, Event::Peers(self.live.clone())));
+        let mut group = Group::new(now, self.local_proxy.clone(), spec, self.seed);
+        let out = outputs(
+            &id,
+            group.step(now, Event::Peers(self.live_proxies.clone())),
+        );
         self.groups.insert(id, group);
         out
     }
--- a/crates/policy/src/promote.rs
+++ b/crates/policy/src/promote.rs
@@ -17,15 +17,15 @@
 use crate::status::Status;
 
 /// Interval at which an unanswered order to an instance is sent again.
-pub const ORDER_AGAIN: Span = Span::from_millis(100);
+pub const COMMAND_RETRY: Span = Span::from_millis(100);
 
 /// Time for an answer of the store before the request is made again. A slow store that
 /// answers later is still understood, since requests carry a nonce.
-pub const STORE_AGAIN: Span = Span::from_millis(300);
+pub const STORE_RETRY: Span = Span::from_millis(300);
 
 /// Time for the chosen instance to lead. Then the next term is claimed: under one term
 /// never more than one instance may be promoted, as the first may have obeyed unseen.
-const PROMOTE_WITHIN: Span = Span::from_millis(400);
+const PROMOTE_TIMEOUT: Span = Span::from_millis(400);
 
 /// Stage of an attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -99,8 +99,8 @@
     revision: Revision,
     fenced: IndexMap<InstanceId, Status>,
     queries: Vec<QueryId>,
-    asked: Option<Time>,
-    ordered: IndexMap<InstanceId, Time>,
+    store_sent: Option<Time>,
+    commanded: IndexMap<InstanceId, Time>,
 }
 
 impl Attempt {
@@ -129,8 +129,8 @@
             revision: Revision(0),
             fenced: IndexMap::new(),
             queries: Vec::new(),
-            asked: None,
-            ordered: IndexMap::new(),
+            store_sent: None,
+            commanded: IndexMap::new(),
         };
         if let Some(known) = known {
             attempt.base_on(known);
@@ -143,20 +143,20 @@
         self.record.term = self.record.term.max(above);
         self.revision = known.revision;
         self.step = Step::Claiming;
-        self.asked = None;
+        self.store_sent = None;
         self.queries.clear();
     }
 
-    fn enter(&mut self, now: Time, step: Step) {
+    fn enter_step(&mut self, now: Time, step: Step) {
         self.step = step;
         self.since = now;
-        self.asked = None;
+        self.store_sent = None;
         self.queries.clear();
-        self.ordered.clear();
+        self.commanded.clear();
     }
 
     /// Whether the claim holds, so that orders may go out under its term.
-    pub fn claimed(&self) -> bool {
+    pub fn has_claim(&self) -> bool {
         !matches!(self.step, Step::Reading | Step::Claiming | Step::Settling)
     }
 
@@ -176,12 +176,12 @@
                 None
             }
             (Step::Claiming | Step::Settling, StoreReply::Swapped(revision)) => {
-                Some(self.won(now, revision))
+                Some(self.claim_won(now, revision))
             }
             (Step::Claiming | Step::Settling, StoreReply::Found(found)) => self.settle(now, found),
             (Step::Claiming, StoreReply::Unknown) => {
                 self.step = Step::Settling;
-                self.asked = None;
+                self.store_sent = None;
                 None
             }
             (Step::Publishing(primary), StoreReply::Swapped(revision)) => {
@@ -193,9 +193,9 @@
         }
     }
 
-    fn won(&mut self, now: Time, revision: Revision) -> Progress {
+    fn claim_won(&mut self, now: Time, revision: Revision) -> Progress {
         self.revision = revision;
-        self.enter(now, Step::Fencing);
+        self.enter_step(now, Step::Fencing);
         Progress::Claimed
     }
 
@@ -205,11 +205,11 @@
     fn settle(&mut self, now: Time, found: Versioned) -> Option<Progress> {
         let ours = found.record.as_ref().is_some_and(|r| *r == self.record);
         if ours {
-            return Some(self.won(now, found.revision));
+            return Some(self.claim_won(now, found.revision));
         }
         if found.revision == self.revision {
             self.step = Step::Claiming;
-            self.asked = None;
+            self.store_sent = None;
             return None;
         }
         Some(Progress::Superseded(found))
@@ -231,7 +231,7 @@
             Some(primary) => Some(Progress::Published(primary, found)),
             None => {
                 self.revision = found.revision;
-                self.asked = None;
+                self.store_sent = None;
                 None
             }
         }
@@ -246,7 +246,7 @@
         instance: &InstanceId,
         status: &Status,
     ) -> Option<Progress> {
-        if !self.claimed() {
+        if !self.has_claim() {
             return None;
         }
         if status.fenced > self.record.term {
@@ -261,7 +261,7 @@
                 if chosen == instance && status.leads() && status.term() == self.record.term =>
             {
                 let chosen = chosen.clone();
-                self.enter(now, Step::Publishing(chosen.clone()));
+                self.enter_step(now, Step::Publishing(chosen.clone()));
                 Some(Progress::Promoted(chosen))
             }
             _ => None,
@@ -277,10 +277,10 @@
         let complete = self.fenced.len() == spec.members.len();
         // A planned change has the leaving primary among the first to be fenced; another
         // answer lets one be chosen that stays.
-        if leaving && !complete && now.since(self.since) < PROMOTE_WITHIN {
+        if leaving && !complete && now.since(self.since) < PROMOTE_TIMEOUT {
             return None;
         }
-        self.enter(now, Step::Promoting(choice.instance.clone()));
+        self.enter_step(now, Step::Promoting(choice.instance.clone()));
         Some(Progress::Chosen(choice))
     }
 
@@ -291,10 +291,10 @@
             Step::Claiming => self.swap(now, None),
             Step::Fencing => {
                 let members = spec.members.keys();
-                let left = members.filter(|m| !self.fenced.contains_key(*m));
-                let left: Vec<_> = left.cloned().collect();
+                let unfenced = members.filter(|m| !self.fenced.contains_key(*m));
+                let unfenced: Vec<_> = unfenced.cloned().collect();
                 let fence = Command::Fence(self.record.term);
-                let due = left.into_iter().filter(|m| self.command_due(now, m));
+                let due = unfenced.into_iter().filter(|m| self.command_due(now, m));
                 let due: Vec<_> = due.collect();
                 due.into_iter()
                     .map(|m| self.command(now, m, fence.clone()))
@@ -316,8 +316,10 @@
     }
 
     fn query_store(&self, now: Time, request: StoreRequest) -> Vec<Request> {
-        let open = self.asked.is_some_and(|at| now.since(at) < STORE_AGAIN);
-        if open {
+        let waiting = self
+            .store_sent
+            .is_some_and(|at| now.since(at) < STORE_RETRY);
+        if waiting {
             Vec::new()
         } else {
             vec![Request::Store(request)]
@@ -327,23 +329,23 @@
     /// Notes the name that a store request went out under.
     pub fn store_queried(&mut self, now: Time, query: QueryId) {
         self.queries.push(query);
-        self.asked = Some(now);
+        self.store_sent = Some(now);
     }
 
     fn command_due(&self, now: Time, instance: &InstanceId) -> bool {
-        let last = self.ordered.get(instance);
-        last.is_none_or(|at| now.since(*at) >= ORDER_AGAIN)
+        let last = self.commanded.get(instance);
+        last.is_none_or(|at| now.since(*at) >= COMMAND_RETRY)
     }
 
     fn command(&mut self, now: Time, instance: InstanceId, command: Command) -> Request {
-        self.ordered.insert(instance.clone(), now);
+        self.commanded.insert(instance.clone(), now);
         Request::Instance(instance, command)
     }
 
     /// Whether the chosen instance took too long.
     pub fn timed_out(&self, now: Time) -> Option<Progress> {
         match &self.step {
-            Step::Promoting(chosen) if now.since(self.since) >= PROMOTE_WITHIN => {
+            Step::Promoting(chosen) if now.since(self.since) >= PROMOTE_TIMEOUT => {
                 Some(Progress::TimedOut(chosen.clone()))
             }
             _ => None,
--- a/crates/policy/tests/promote.rs
+++ b/crates/policy/tests/promote.rs
@@ -78,7 +78,7 @@
     let other = found(1, Some(record("p2", 8)));
     let progress = attempt.take_store_reply(NOW, QueryId(2), other);
     assert!(matches!(progress, Some(Progress::Superseded(_))));
-    assert!(!attempt.claimed());
+    assert!(!attempt.has_claim());
 }
 
 // The claim took effect and its answer was lost. Reading back finds its own nonce.
