--- a/crates/policy/src/confirm.rs
+++ b/crates/policy/src/confirm.rs
@@ -1,4 +1,4 @@
-//! Confirmation of writes: a write counts once a majority holds it under one term.
+//! Confirmation of writes: a write is confirmed once a majority holds it under one term.
 
 use indexmap::IndexMap;
 use model::id::InstanceId;
@@ -9,7 +9,7 @@
 use crate::route::Unconfirmed;
 use crate::status::Status;
 
-/// A write that waits for its majority.
+/// A write that is not held by a majority yet.
 #[derive(Clone, Copy, Debug)]
 struct Pending {
     request: RequestId,
@@ -22,8 +22,9 @@
 
 /// Confirmations of one group under its newest term.
 ///
-/// Invariant: `held` only has positions of `term`, each proven by a status that showed no
-/// later promise. A proof never expires: a fence that comes later finds the record.
+/// Invariant: `held` only contains positions of `term`, each proven by a status without a
+/// later promise, or by the commit on the primary. A proof never expires: a later fence
+/// finds the record in the log.
 #[derive(Clone, Debug, Default)]
 pub struct Confirmations {
     term: Term,
@@ -32,10 +33,11 @@
 }
 
 impl Confirmations {
-    /// Moves to a newer term; writes of the older one are given up as unknown.
+    /// Switches to a newer term and ends the pending writes of the older one with an unknown
+    /// outcome.
     ///
-    /// They may have survived the promotion, but they ran on a primary that is replaced,
-    /// and such a one must never get a write acknowledged.
+    /// They may have survived the promotion, but they ran on a primary that is now replaced,
+    /// and no write on a replaced primary may be acknowledged.
     pub fn start_term(&mut self, term: Term) -> Vec<Outcome> {
         if term <= self.term {
             return Vec::new();
@@ -49,7 +51,7 @@
             .collect()
     }
 
-    /// Takes in a write that ran on `primary`; its commit proves that the primary holds it.
+    /// Adds a write that ran on `primary`; its commit proves that the primary holds it.
     pub fn add(
         &mut self,
         request: RequestId,
@@ -72,7 +74,7 @@
         Ok(())
     }
 
-    /// Takes in a status of an instance.
+    /// Processes a status of an instance.
     pub fn observe(&mut self, instance: &InstanceId, status: &Status) {
         let end = status.end();
         if end.term == self.term && status.holds(end) {
@@ -85,7 +87,8 @@
         *held = (*held).max(position);
     }
 
-    /// Answers the writes that `majority` instances hold, and those whose time is up.
+    /// Removes the writes that `majority` instances hold, and those past their deadline, and
+    /// returns their outcomes.
     pub fn settle(&mut self, now: Time, majority: usize) -> Vec<Outcome> {
         let safe = self.majority_position(majority);
         let mut out = Vec::new();
@@ -110,9 +113,9 @@
         held.get(majority.checked_sub(1)?).copied()
     }
 
-    /// The lowest pending position that `instance` is not known to hold beyond `after`.
+    /// The lowest pending position beyond `after` that `instance` is not known to hold.
     ///
-    /// One waiting question serves every commit up to the position that it returns.
+    /// One waiting query covers every commit up to the position that its response reports.
     pub fn next_wait(&self, instance: &InstanceId, after: Position) -> Option<Position> {
         let held = self.held.get(instance).copied().unwrap_or_default();
         let floor = held.max(after);
@@ -120,7 +123,7 @@
         positions.filter(|p| *p > floor).min()
     }
 
-    /// When the next pending write's time is up.
+    /// The earliest deadline of a pending write.
     pub fn next_deadline(&self) -> Option<Time> {
         self.pending.iter().map(|p| p.deadline).min()
     }
--- a/crates/policy/src/decision.rs
+++ b/crates/policy/src/decision.rs
@@ -1,4 +1,4 @@
-//! Records of what was decided, on which evidence, and what was ruled out.
+//! Records of decisions, with their evidence and what ruled out the alternatives.
 
 use std::collections::VecDeque;
 use std::fmt;
@@ -7,11 +7,11 @@
 use model::position::{Point, Position, Term};
 use model::unit::{Span, Time};
 
-/// Most decisions kept for each group; the oldest give way. At about 300 bytes each it
-/// bounds a group's share of memory to some 40 KB while it holds several failovers.
+/// Largest number of decisions kept for each group; the oldest are dropped first. At about
+/// 300 bytes each they take some 40 KB and cover several failovers.
 pub const MAX_KEPT: usize = 128;
 
-/// Names the chain of decisions that belong to one change of primary.
+/// Identifies the decisions that belong to one change of primary.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, serde::Serialize, serde::Deserialize,
 )]
@@ -29,17 +29,17 @@
 )]
 #[serde(rename_all = "snake_case")]
 pub enum Phase {
-    /// From the primary's last answer to the verdict.
+    /// From the first unanswered query to the verdict.
     Detect,
     /// From the verdict to the claimed term.
     Claim,
     /// From the claim to a fenced majority.
     Fence,
-    /// From the fenced majority to the new primary's answer.
+    /// From the fenced majority to the new primary's first response as such.
     Promote,
-    /// From the new primary's answer to the published record.
+    /// From the new primary's first response as such to the published record.
     Publish,
-    /// From the new primary's answer to the first confirmed write.
+    /// From the new primary's first response as such to the first confirmed write.
     FirstAck,
 }
 
@@ -67,13 +67,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Cause {
-    /// Neither a majority of instances nor any data centre's proxies hear it.
+    /// A majority of instances has no contact with it, and no proxy outside its data centre
+    /// reports to reach it.
     Unreachable,
-    /// Proxies reach it, but for long no majority of instances has: no write is safe there.
+    /// Proxies may reach it, but a majority of instances has had no contact with it for long,
+    /// so that no write on it can be confirmed.
     Isolated,
-    /// A claim fenced it, and the claimant did not finish.
+    /// It or a majority promised a later term, and the claimant did not finish.
     Abandoned,
-    /// It is being taken out of service.
+    /// It is being decommissioned.
     Leaving,
 }
 
@@ -81,18 +83,18 @@
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum What {
-    /// The primary does not answer; evidence is being gathered.
+    /// The primary is unresponsive; evidence is being gathered.
     #[serde(rename = "doubt")]
     Suspected(InstanceId),
-    /// The doubted primary answered again.
+    /// The suspected primary responded again.
     Cleared(InstanceId),
-    /// Requests go through a peer that still reaches the primary.
+    /// Requests are forwarded through a peer that still reaches the primary.
     Forward(ProxyId),
     /// The primary is to be replaced.
     Replace(InstanceId, Cause),
     /// A term was claimed.
     Claimed,
-    /// The claim was lost to another proxy.
+    /// The attempt was superseded by the claim of another proxy.
     Outrun(ProxyId),
     /// A majority is fenced, and this instance is chosen.
     Chosen(InstanceId),
@@ -100,14 +102,13 @@
     Promoted(InstanceId),
     /// The record names the new primary.
     Published(InstanceId),
-    /// A newer primary was heard of.
+    /// A newer primary was discovered.
     Learnt(InstanceId),
     /// The first write under the new primary is confirmed.
     FirstAck,
     /// The attempt ended without a new primary.
     Abandoned,
-    /// An instance holds records that the new primary's log does not; they are discarded
-    /// as it is made to follow.
+    /// An instance holds records that the new primary's log lacks; following discards them.
     Diverged {
         /// The instance.
         instance: InstanceId,
@@ -116,36 +117,36 @@
         /// End of its own log.
         end: Position,
     },
-    /// An instance was ordered to follow the primary.
+    /// An instance was commanded to follow the primary.
     Follow(InstanceId),
 }
 
-/// One observation that a decision rests on, or that ruled another choice out.
+/// One observation that a decision rests on, or that ruled out an alternative.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Fact {
-    /// Time for which the instance left this proxy's questions without an answer.
+    /// Time for which the instance has not responded to this proxy's queries.
     Silent(InstanceId, Span),
-    /// Time since the instance heard its primary, as it said itself.
+    /// Time since the instance's last contact with its primary, as it reports.
     Unheard(InstanceId, Span),
-    /// A proxy says that the primary answered it this long ago.
+    /// A proxy reports that it reaches the primary, which last responded this long ago.
     Reached(ProxyId, Span),
-    /// A proxy says that the primary does not answer it.
+    /// A proxy reports that it does not reach the primary.
     Unreached(ProxyId),
-    /// End of an instance's log, as counted for the choice.
+    /// End of an instance's log, as compared for the choice.
     End(InstanceId, Point),
     /// An instance promised a later term.
     Fenced(InstanceId, Term),
-    /// An instance is being taken out of service.
+    /// An instance is being decommissioned.
     Leaving(InstanceId),
-    /// An instance did not answer.
+    /// An instance did not respond.
     NoAnswer(InstanceId),
 }
 
 /// One decision.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Decision {
-    /// When, on the clock of the proxy that decided.
+    /// When it was taken, on the clock of the deciding proxy.
     pub at: Time,
     /// The group.
     pub group: GroupId,
@@ -155,11 +156,11 @@
     pub trace: TraceId,
     /// What was decided.
     pub what: What,
-    /// Stage that it ends, with the time that the stage took.
+    /// Stage that it ends, with the duration of the stage.
     pub phase: Option<(Phase, Span)>,
-    /// Observations that speak for it.
+    /// Observations that support it.
     pub evidence: Vec<Fact>,
-    /// Observations that ruled out the other choices.
+    /// Observations that ruled out the alternatives.
     pub ruled_out: Vec<Fact>,
 }
 
--- a/crates/policy/src/failure_detector.rs
+++ b/crates/policy/src/failure_detector.rs
@@ -1,10 +1,10 @@
-//! Judgement of a primary that does not answer.
+//! Decides whether an unresponsive primary has failed.
 //!
-//! Load: one silent connection, a stall of some 300 ms, or a data centre cut off from the
-//! others are frequent, while a dead primary is rare. Replacing a live primary interrupts
-//! every writer, and waiting longer than needed extends every write gap. So the verdict
-//! needs three independent views: fresh connections of this proxy, a majority of the
-//! instances, and the proxies of the other data centres.
+//! A single dead connection, a stall of some 300 ms or a partitioned data centre is
+//! frequent, while a failed primary is rare. Replacing a live primary interrupts every
+//! writer, and waiting longer than needed extends every write gap. The verdict therefore
+//! rests on three independent sources: fresh connections of this proxy, a majority of the
+//! instances, and the proxies of other data centres.
 
 use indexmap::IndexMap;
 use model::id::{InstanceId, ProxyId};
@@ -15,38 +15,40 @@
 use crate::spec::Spec;
 use crate::status::{Observation, Role};
 
-/// Silence after which fresh connections are tried and other proxies are asked. It lies
-/// above the round trip between regions (40 ms) plus the opening of a connection (30 ms).
+/// Time without a response after which fresh connections are tried and other proxies are
+/// queried. It exceeds the round trip between regions (40 ms) plus the opening of a
+/// connection (30 ms).
 pub const PROBE_AFTER: Span = Span::from_millis(100);
 
-/// Age up to which a replica's view and a peer's view count. Both are renewed every
-/// [`crate::poll::DOUBT`] during doubt, so that this allows for three lost rounds.
+/// Age up to which the status of a replica and the report of a peer are used. Both are
+/// renewed every [`crate::poll::DOUBT`] while the primary is suspected, so that three
+/// rounds may be lost.
 pub const MAX_REPORT_AGE: Span = Span::from_millis(250);
 
-/// Refused connections in a row that show that the process is gone: one may have met a
-/// listener that was just being opened.
+/// Consecutive refused connections that prove that the process is gone. A single refusal
+/// may be due to a listener that is just being opened.
 const MIN_REFUSALS: u32 = 2;
 
-/// A primary that proxies reach but no majority of instances hears is replaced after this
-/// many times the usual silence: it cannot have a write confirmed, but a short cut among
-/// the instances heals by itself.
+/// Factor on the failure timeout for a primary that proxies reach but a majority of
+/// instances has no contact with. No write on it can be confirmed, but a short partition
+/// between the instances heals by itself.
 const ISOLATED_FACTOR: u64 = 2;
 
-/// How an instance answers this proxy.
+/// How an instance responds to this proxy.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Reachability {
-    /// When its newest answer arrived.
+    /// When its newest response arrived.
     pub last_response: Option<Time>,
-    /// Start of the oldest question since then that brought no answer.
+    /// Start of the oldest query since then that is unanswered.
     pub unanswered_since: Option<Time>,
-    /// Start of the oldest fresh connection since then that brought no answer.
+    /// Start of the oldest fresh connection since then that got no response.
     pub fresh_unanswered_since: Option<Time>,
-    /// Fresh connections since then that were refused outright.
+    /// Number of fresh connections since then that were refused.
     pub refusals: u32,
 }
 
 impl Reachability {
-    /// Takes in an answer.
+    /// Records a response.
     pub fn record_response(&mut self, now: Time) {
         *self = Self {
             last_response: Some(now),
@@ -56,40 +58,42 @@
         };
     }
 
-    /// Takes in a question that is sent.
+    /// Records that a query is sent.
     pub fn record_query(&mut self, now: Time) {
         self.unanswered_since.get_or_insert(now);
     }
 
-    /// Takes in the start of a fresh connection.
+    /// Records the start of a query on a fresh connection.
     pub fn record_fresh_query(&mut self, now: Time) {
         self.record_query(now);
         self.fresh_unanswered_since.get_or_insert(now);
     }
 
-    /// Takes in a fresh connection that was refused: no process listens any more.
+    /// Records a refused connection for a query sent at `sent`: no process listens.
     pub fn record_refusal(&mut self, sent: Time) {
         self.record_fresh_query(sent);
         self.refusals += 1;
     }
 
-    /// Time for which questions have gone without an answer. Time in which nothing was
-    /// asked does not count: a proxy that was paused must not take its own silence for
-    /// that of the primary.
+    /// Time for which queries have been unanswered. Time in which no query was outstanding
+    /// does not count: a proxy that was paused must not conclude from its own inactivity
+    /// that the primary is unresponsive.
     pub fn unresponsive_for(&self, now: Time) -> Span {
         self.unanswered_since
             .map_or(Span::default(), |at| now.since(at))
     }
 
-    /// Time since the newest answer.
+    /// Time since the newest response.
     pub fn contact_age(&self, now: Time) -> Option<Span> {
         self.last_response.map(|at| now.since(at))
     }
 
-    /// Whether it is silent, and fresh connections have been tried for half that time.
+    /// Whether it has been unresponsive for `timeout`, and fresh connections have been tried
+    /// for half that time.
     ///
-    /// A connection that something between the ends has forgotten stays silent for good
-    /// while new ones work; so silence on an open connection alone proves nothing.
+    /// When a device between the ends drops the state of a connection, that connection never
+    /// responds again while new ones work. A missing response on an open connection alone
+    /// therefore proves nothing.
     pub fn is_lost(&self, now: Time, timeout: Span) -> bool {
         let half = Span::from_micros(timeout.as_micros() / 2);
         self.unresponsive_for(now) >= timeout
@@ -99,64 +103,64 @@
     }
 }
 
-/// A peer's view with the time of its arrival.
+/// A peer's report with the time of its arrival.
 #[derive(Clone, Debug)]
 pub struct ReceivedReport {
-    /// What it said.
+    /// The report.
     pub report: PeerReport,
-    /// When.
+    /// When it arrived.
     pub received_at: Time,
 }
 
-/// What is known about a primary.
+/// What this proxy knows about a primary.
 pub struct PrimaryView<'a> {
-    /// The present.
+    /// The current time.
     pub now: Time,
     /// The group.
     pub spec: &'a Spec,
     /// The primary in question.
     pub primary: &'a InstanceId,
-    /// Since when it is known to lead.
+    /// Since when this proxy knows that it leads.
     pub since: Time,
-    /// How it answers this proxy.
-    pub reach: Reachability,
+    /// How it responds to this proxy.
+    pub reachability: Reachability,
     /// Newest observation of each instance.
     pub seen: &'a IndexMap<InstanceId, Observation>,
-    /// Newest view of each other proxy.
+    /// Newest report of each other proxy.
     pub peers: &'a IndexMap<ProxyId, ReceivedReport>,
 }
 
 /// What to do about a primary.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// It answers.
+    /// It responds.
     Healthy,
-    /// It is silent, but not proven lost.
+    /// It is unresponsive, but not known to have failed.
     Suspect,
-    /// Other proxies reach it: go through this one.
+    /// Other proxies reach it: requests are forwarded through this one.
     Forward(ProxyId),
     /// It is to be replaced.
     Replace(Cause),
 }
 
 impl PrimaryView<'_> {
-    /// Silence that counts as loss. A stalled server keeps its socket open, so that
-    /// connections to it hang; where they are refused, the process is gone, and half the
-    /// time is enough. A process that restarts within it is replaced without harm, as
-    /// its callers have lost their connections anyway.
+    /// Time without a response after which the primary counts as failed. A stalled server
+    /// keeps its listening socket, so that connections to it hang. If connections are
+    /// refused, the process is gone, and half the time is enough: replacing a process that
+    /// restarts within it does no harm, as its callers have lost their connections anyway.
     fn failure_timeout(&self) -> Span {
         let timeout = self.spec.settings.suspect_after;
-        if self.reach.refusals >= MIN_REFUSALS {
+        if self.reachability.refusals >= MIN_REFUSALS {
             Span::from_micros(timeout.as_micros() / 2)
         } else {
             timeout
         }
     }
 
-    /// Judges the primary.
+    /// Evaluates the primary.
     pub fn verdict(&self) -> Verdict {
         let timeout = self.failure_timeout();
-        let unresponsive_for = self.reach.unresponsive_for(self.now);
+        let unresponsive_for = self.reachability.unresponsive_for(self.now);
         let isolated_after = self.spec.settings.suspect_after.times(ISOLATED_FACTOR);
         let established = self.now.since(self.since) >= isolated_after;
         if established && self.without_contact(isolated_after).len() >= self.spec.majority() {
@@ -165,11 +169,12 @@
         if unresponsive_for < PROBE_AFTER {
             return Verdict::Healthy;
         }
-        if !self.reach.is_lost(self.now, timeout) {
+        if !self.reachability.is_lost(self.now, timeout) {
             return Verdict::Suspect;
         }
-        // Proxies beside the primary share its side of a cut. When no majority of the
-        // instances hears it, nothing that they write there could be acknowledged.
+        // Proxies in the primary's data centre are on its side of a partition. If a majority
+        // of the instances has no contact with the primary, no write through these proxies
+        // can be acknowledged.
         if let Some(peer) = self.reaching_peers().find(|h| !self.same_data_centre(h)) {
             return Verdict::Forward(peer.report.proxy.clone());
         }
@@ -188,7 +193,7 @@
         primary.is_some_and(|m| m.location.data_centre == peer.report.location.data_centre)
     }
 
-    /// Replicas that have not heard the primary for `after`, by their own recent word.
+    /// Replicas whose recent status reports no contact with the primary for `timeout`.
     fn without_contact(&self, timeout: Span) -> Vec<(&InstanceId, Span)> {
         let no_contact = |(id, o): &(&InstanceId, &Observation)| {
             *id != self.primary
@@ -210,9 +215,12 @@
         self.recent_reports().filter(|h| reaches(&h.report))
     }
 
-    /// The observations behind the verdict.
+    /// The observations that the verdict rests on.
     pub fn evidence(&self) -> Vec<Fact> {
-        let own = Fact::Silent(self.primary.clone(), self.reach.unresponsive_for(self.now));
+        let own = Fact::Silent(
+            self.primary.clone(),
+            self.reachability.unresponsive_for(self.now),
+        );
         let mut facts = vec![own];
         let without_contact = self.without_contact(self.failure_timeout());
         facts.extend(
@@ -228,7 +236,7 @@
     }
 }
 
-/// Whether the speaker reaches the primary: it has a recent answer and waits for none.
+/// Whether the sender reaches the primary: it got a recent response, and none is overdue.
 fn reaches(report: &PeerReport) -> bool {
     report.unresponsive_for < PROBE_AFTER
         && report.contact_age.is_some_and(|age| age < MAX_REPORT_AGE)
--- a/crates/policy/src/group.rs
+++ b/crates/policy/src/group.rs
@@ -1,8 +1,8 @@
-//! Controller of one database group: everything that a proxy decides about it.
+//! Controller of one database group: all decisions of one proxy about the group.
 //!
-//! One call of [`Group::step`] takes in one event and gives out the actions that follow.
-//! It keeps no clock, opens no socket and draws its randomness from the given seed, so
-//! that a run is repeated exactly by repeating its events.
+//! [`Group::step`] processes one event and returns the resulting actions. The controller
+//! reads no clock, opens no socket and takes its randomness from the given seed, so that
+//! replaying the events repeats a run exactly.
 
 mod repair;
 mod responses;
@@ -31,48 +31,47 @@
 use crate::status::Observation;
 use waiting::Waiting;
 
-/// Span within which a step at most must follow the last one, so that retries and
-/// timeouts take place.
+/// Longest interval between two steps; retries and timeouts depend on it.
 pub const TICK: Span = Span::from_millis(10);
 
-/// The newest primary that this proxy knows of.
+/// The newest primary known to this proxy.
 #[derive(Clone, Debug, Default)]
 pub struct Leadership {
     /// Its term; term 0 before any is known.
     pub term: Term,
     /// The primary.
     pub primary: Option<InstanceId>,
-    /// Since when it is known.
+    /// When this proxy learnt of it.
     pub since: Time,
 }
 
-/// Stages of the newest change of primary, for the breakdown of its write gap.
+/// The newest change of primary, for the measurement of its stages.
 #[derive(Clone, Copy, Debug)]
 struct Change {
     trace: TraceId,
-    /// When the new primary was known to lead; taken by the first confirmed write.
+    /// When the new primary was first seen to lead; cleared by the first confirmed write.
     promoted: Option<Time>,
 }
 
-/// Controller of one group on one proxy.
+/// Controller of one group in one proxy.
 #[derive(Debug)]
 pub struct Group {
     local_proxy: LocalProxy,
     spec: Spec,
     rng: SmallRng,
     started: Time,
-    /// Time of the newest step; every step has a later one than those before, so that
-    /// "asked since" and "asked before" can be told apart.
+    /// Time of the newest step. It rises strictly from step to step, so that queries sent
+    /// before and after an event are distinguishable.
     now: Time,
     leadership: Leadership,
     change: Change,
-    /// The record in the store, as last heard.
+    /// Newest known state of the leadership record.
     known_record: Option<Versioned>,
     observations: IndexMap<InstanceId, Observation>,
     reachability: IndexMap<InstanceId, Reachability>,
     polls: IndexMap<InstanceId, Poll>,
     loads: IndexMap<InstanceId, Load>,
-    /// When each instance was last told to follow.
+    /// When each instance was last commanded to follow the primary.
     last_follow: IndexMap<InstanceId, Time>,
     live_proxies: Vec<Peer>,
     reports: IndexMap<ProxyId, ReceivedReport>,
@@ -80,15 +79,15 @@
     freshness: Freshness,
     waiting: Vec<Waiting>,
     attempt: Option<Attempt>,
-    /// When the attempt's stage began.
+    /// When the current stage of the attempt began.
     stage_start: Time,
-    /// No attempt of our own before this moment: another claimant is at work.
+    /// This proxy starts no attempt before this time: another claimant is active.
     yield_until: Time,
     verdict: Verdict,
     verdict_since: Time,
-    /// Since when a majority or the primary itself has promised a later term.
+    /// Since when the primary itself or a majority has promised a later term.
     deposed_since: Option<Time>,
-    /// When a request last asked for a route.
+    /// When the newest request for a route arrived.
     last_request: Option<Time>,
     last_report: Option<Time>,
     pending_read: Option<(QueryId, Time)>,
@@ -98,7 +97,7 @@
 }
 
 impl Group {
-    /// A controller that knows nothing of the group's state yet.
+    /// Creates a controller without any knowledge of the group's state.
     pub fn new(now: Time, local_proxy: LocalProxy, spec: Spec, seed: u64) -> Self {
         Self {
             local_proxy,
@@ -137,7 +136,7 @@
         }
     }
 
-    /// Takes in one event and gives out what follows from it.
+    /// Processes one event and returns the resulting actions.
     pub fn step(&mut self, now: Time, event: Event) -> Vec<Action> {
         self.now = now.max(self.now + Span::from_micros(1));
         self.handle(event);
@@ -150,7 +149,7 @@
         &self.leadership
     }
 
-    /// The attempt of this proxy to replace the primary, while there is one.
+    /// This proxy's attempt to replace the primary, if one is under way.
     pub fn attempt(&self) -> Option<&Attempt> {
         self.attempt.as_ref()
     }
@@ -236,10 +235,10 @@
         };
         let took = self.now.since(at);
         let phase = Some((Phase::FirstAck, took));
-        self.decide(What::FirstAck, self.change.trace, phase, vec![], vec![]);
+        self.record_decision(What::FirstAck, self.change.trace, phase, vec![], vec![]);
     }
 
-    fn decide(
+    fn record_decision(
         &mut self,
         what: What,
         trace: TraceId,
@@ -262,7 +261,7 @@
         self.actions.push(Action::Decided(decision));
     }
 
-    /// Makes a newer primary the one to route to.
+    /// Routes to `primary` from now on, unless its term is old or already known.
     fn set_primary(&mut self, term: Term, primary: &InstanceId) {
         let known = self.leadership.term == term && self.leadership.primary.is_some();
         if term < self.leadership.term || known {
@@ -277,8 +276,8 @@
         self.verdict_since = self.now;
         self.deposed_since = None;
         self.last_follow.clear();
-        let reach = self.reachability.entry(primary.clone()).or_default();
-        (reach.fresh_unanswered_since, reach.refusals) = (None, 0);
+        let reachability = self.reachability.entry(primary.clone()).or_default();
+        (reachability.fresh_unanswered_since, reachability.refusals) = (None, 0);
         self.change.promoted = Some(self.now);
         let outcomes = self.confirmations.start_term(term);
         self.emit_confirmed(outcomes);
@@ -292,7 +291,7 @@
         let ours = self.attempt.is_some();
         if !ours && term > Term(1) {
             let trace = self.change.trace;
-            self.decide(What::Learnt(primary.clone()), trace, None, vec![], vec![]);
+            self.record_decision(What::Learnt(primary.clone()), trace, None, vec![], vec![]);
         }
     }
 
@@ -305,17 +304,17 @@
         QueryId(self.last_query)
     }
 
-    fn send(&mut self, instance: &InstanceId, command: Command, channel: Channel) {
+    fn send_command(&mut self, instance: &InstanceId, command: Command, channel: Channel) {
         let query = self.next_query();
-        let reach = self.reachability.entry(instance.clone()).or_default();
+        let reachability = self.reachability.entry(instance.clone()).or_default();
         let kind = match &command {
             Command::Status => Kind::Status,
             Command::Wait { position, .. } => Kind::Wait(*position),
             Command::Fence(_) | Command::Promote(_) | Command::Follow { .. } => Kind::Order,
         };
         match channel {
-            Channel::Fresh => reach.record_fresh_query(self.now),
-            Channel::Persistent if kind == Kind::Status => reach.record_query(self.now),
+            Channel::Fresh => reachability.record_fresh_query(self.now),
+            Channel::Persistent if kind == Kind::Status => reachability.record_query(self.now),
             Channel::Persistent => {}
         }
         let open = Open {
@@ -339,20 +338,20 @@
     }
 
     fn send_report(&mut self, to: Recipients, wants_reply: bool) {
-        let reach = self
+        let reachability = self
             .leadership
             .primary
             .as_ref()
             .and_then(|p| self.reachability.get(p));
-        let reach = reach.copied().unwrap_or_default();
+        let reachability = reachability.copied().unwrap_or_default();
         let report = PeerReport {
             group: self.spec.group.clone(),
             proxy: self.local_proxy.id.clone(),
             location: self.local_proxy.location.clone(),
             term: self.leadership.term,
             primary: self.leadership.primary.clone(),
-            contact_age: reach.contact_age(self.now),
-            unresponsive_for: reach.unresponsive_for(self.now),
+            contact_age: reachability.contact_age(self.now),
+            unresponsive_for: reachability.unresponsive_for(self.now),
             wants_reply,
         };
         self.actions.push(Action::Send { to, report });
--- a/crates/policy/src/group/repair.rs
+++ b/crates/policy/src/group/repair.rs
@@ -1,4 +1,4 @@
-//! Bringing instances under the newest primary, and reporting what they held beyond it.
+//! Makes instances follow the newest primary, and reports records that only they hold.
 
 use model::id::InstanceId;
 use model::position::{Position, Term};
@@ -10,19 +10,20 @@
 use crate::message::{Channel, Command};
 use crate::status::{Observation, Role, Status};
 
-/// Interval at which an instance is told again to follow; a rebuild may take longer, and
-/// the order is repeated without harm.
+/// Interval at which the command to follow is repeated. A rebuild may take longer;
+/// repeating the command is harmless.
 const FOLLOW_RETRY: Span = Span::from_millis(1_000);
 
-/// Head start of each proxy over the next in rank.
+/// Delay between the repairs of proxies that are neighbours in rank.
 const STAGGER: Span = Span::from_millis(500);
 
-/// Silence of its primary after which a replica is told anew whom to follow.
+/// Time without contact to its primary after which a replica is commanded to follow again.
 const MAX_CONTACT_AGE: Span = Span::from_millis(1_500);
 
 impl Group {
-    /// An old primary that returns still believes that it leads: it is fenced and made to
-    /// follow by one order. Replicas that were out of reach are brought in alike.
+    /// Commands instances to follow the newest primary. An old primary that returns still
+    /// takes itself for the primary; one command fences it and makes it follow. Replicas
+    /// that were unreachable are handled in the same way.
     pub(super) fn repair(&mut self) {
         let Some(primary) = self.leadership.primary.clone() else {
             return;
@@ -47,7 +48,7 @@
 
     fn needs_follow(&self, id: &InstanceId, seen: &Observation) -> bool {
         let status = &seen.status;
-        // A later promise is another claimant's business.
+        // Another claimant is changing the primary under a later term.
         if status.fenced > self.leadership.term {
             return false;
         }
@@ -68,19 +69,19 @@
                 shared,
                 end: status.received,
             };
-            self.decide(what, trace, None, vec![], vec![]);
+            self.record_decision(what, trace, None, vec![], vec![]);
         }
         if first {
-            self.decide(What::Follow(id.clone()), trace, None, vec![], vec![]);
+            self.record_decision(What::Follow(id.clone()), trace, None, vec![], vec![]);
         }
         let command = Command::Follow {
             term: self.leadership.term,
             primary: primary.clone(),
         };
-        self.send(id, command, Channel::Fresh);
+        self.send_command(id, command, Channel::Fresh);
     }
 
-    /// Last position that a log shares with the primary's, if it goes on beyond.
+    /// Last position that a diverged log shares with the primary's log.
     fn divergence(&self, status: &Status) -> Option<Position> {
         let primary = self.observations.get(self.leadership.primary.as_ref()?)?;
         let later = |term: Term| {
--- a/crates/policy/src/group/responses.rs
+++ b/crates/policy/src/group/responses.rs
@@ -1,4 +1,5 @@
-//! What a group controller takes from answers of instances, the store and other proxies.
+//! How a group controller processes responses of instances, replies of the store and
+//! reports of other proxies.
 
 use model::id::InstanceId;
 use model::position::Term;
@@ -18,10 +19,10 @@
         let Some((instance, open)) = found else {
             return;
         };
-        let reach = self.reachability.entry(instance.clone()).or_default();
+        let reachability = self.reachability.entry(instance.clone()).or_default();
         match result {
             Ok(status) => {
-                reach.record_response(self.now);
+                reachability.record_response(self.now);
                 let seen = Observation {
                     status,
                     queried_at: open.asked,
@@ -29,9 +30,9 @@
                 };
                 self.observe(&instance, seen);
             }
-            // The silence goes on.
-            Err(Failure::Refused) => reach.record_refusal(open.asked),
-            Err(Failure::Broken) => reach.record_fresh_query(open.asked),
+            // A failure does not end the time without a response.
+            Err(Failure::Refused) => reachability.record_refusal(open.asked),
+            Err(Failure::Broken) => reachability.record_fresh_query(open.asked),
             Err(Failure::Silent | Failure::ReadOnly | Failure::Protocol) => {}
         }
     }
@@ -42,8 +43,8 @@
             self.set_primary(status.term(), instance);
         }
         self.confirmations.observe(instance, &status);
-        // Answers overtake each other on different connections; only a question that was
-        // sent later may replace what is known.
+        // Responses on different connections may arrive out of order; only the response to
+        // a later query replaces an observation.
         let newer = self
             .observations
             .get(instance)
@@ -77,7 +78,7 @@
         self.apply_progress(progress);
     }
 
-    /// News of the record; older news than what is known changes nothing.
+    /// Applies a state of the record, unless a newer one is known.
     pub(super) fn take_record(&mut self, found: Versioned) {
         let newer = |k: &Versioned| found.revision >= k.revision;
         if !self.known_record.as_ref().is_none_or(newer) {
@@ -94,7 +95,8 @@
         self.known_record = Some(found);
     }
 
-    /// Without a record no term was ever claimed: the first declared instance leads term 1.
+    /// Without a record no term was ever claimed, and the first declared instance is the
+    /// primary of term 1.
     fn set_declared_primary(&mut self) {
         if let Some(first) = self.spec.members.keys().next().cloned() {
             self.set_primary(Term(1), &first);
@@ -119,7 +121,7 @@
         );
     }
 
-    /// Follows up on what became of the attempt's step.
+    /// Applies the progress of the attempt.
     pub(super) fn apply_progress(&mut self, progress: Option<Progress>) {
         let Some(progress) = progress else {
             return;
@@ -140,7 +142,7 @@
                     vec![],
                 );
                 self.change.trace = trace;
-                // The status that shows it led to `learn` already.
+                // The status that shows the new primary already caused `set_primary`.
                 self.send_report(Recipients::All, false);
             }
             Progress::Published(primary, versioned) => {
@@ -151,19 +153,19 @@
             Progress::Superseded(found) => self.handle_superseded(found),
             Progress::Fenced(instance, term) => {
                 let fact = vec![Fact::Fenced(instance, term)];
-                self.decide(What::Abandoned, trace, None, fact, vec![]);
+                self.record_decision(What::Abandoned, trace, None, fact, vec![]);
                 self.attempt = None;
                 self.back_off();
             }
             Progress::TimedOut(instance) => {
                 let fact = vec![Fact::NoAnswer(instance)];
-                self.decide(What::Abandoned, trace, None, fact, vec![]);
+                self.record_decision(What::Abandoned, trace, None, fact, vec![]);
                 self.attempt = None;
             }
         }
     }
 
-    /// Records a decision that ends a stage; the next stage began at this moment.
+    /// Records the decision that ends a stage; the next stage begins now.
     fn end_stage(&mut self, phase: Phase, what: What, evidence: Vec<Fact>, ruled_out: Vec<Fact>) {
         let Some(attempt) = &self.attempt else {
             return;
@@ -171,12 +173,13 @@
         let (trace, began) = (attempt.trace, self.stage_start);
         let took = self.now.since(began);
         self.stage_start = self.now;
-        self.decide(what, trace, Some((phase, took)), evidence, ruled_out);
+        self.record_decision(what, trace, Some((phase, took)), evidence, ruled_out);
     }
 
-    /// The record was newer than the claim's basis. When it only tells of a promotion that
-    /// is over, the next claim goes on top of it at once; when another claimant is at
-    /// work, it gets the time to finish.
+    /// Ends an attempt whose claim was based on an outdated record.
+    ///
+    /// If the newer record belongs to a finished promotion or to this proxy, the next claim
+    /// is based on it at once. If another claimant is active, it gets time to finish.
     fn handle_superseded(&mut self, found: Versioned) {
         let attempt = self.attempt.take();
         let record = found.record.clone();
@@ -186,7 +189,7 @@
         let over = record.as_ref().is_none_or(|r| finished(r) || own(r));
         if let (false, Some(record), Some(attempt)) = (over, &record, attempt) {
             let what = What::Outrun(record.claimant.clone());
-            self.decide(what, attempt.trace, None, vec![], vec![]);
+            self.record_decision(what, attempt.trace, None, vec![], vec![]);
             self.back_off();
         }
         self.take_record(found);
--- a/crates/policy/src/group/step.rs
+++ b/crates/policy/src/group/step.rs
@@ -1,4 +1,5 @@
-//! What a group controller does at each step by itself: poll, judge, replace, confirm.
+//! What a group controller does in every step: evaluate and replace the primary, route
+//! requests, poll instances and confirm writes.
 
 use model::id::InstanceId;
 use model::position::{Position, Term};
@@ -12,29 +13,31 @@
 use crate::promote::{Attempt, Request};
 use crate::rank;
 
-/// Head start of each proxy over the next one in rank. It covers claim and fence over
-/// 20 ms between regions, so that the next one usually sees the fence and holds back.
+/// Delay between the attempts of proxies that are neighbours in rank. It covers claim and
+/// fence with 20 ms between regions, so that the next proxy usually sees the fence and
+/// starts no attempt.
 const STAGGER: Span = Span::from_millis(150);
 
-/// Proxies that prepare connections for orders as soon as they doubt the primary. Only
-/// the first in rank usually needs them, and a backend server has some 20 connections for
-/// the whole fleet.
+/// Number of proxies, first in rank, that open connections for commands as soon as they
+/// suspect the primary. Usually only the first one needs them, and a backend server has
+/// some 20 connections for the whole fleet.
 const PREPARING_PROXIES: u64 = 2;
 
-/// Time that another claimant gets to finish before the next term is claimed. A whole
-/// attempt takes some 200 ms between regions; a claimant that was killed or paused costs
-/// this much of the write gap.
+/// Time that another claimant gets to finish before this proxy claims the next term. A
+/// whole attempt takes some 200 ms between regions; a claimant that is killed or paused
+/// extends the write gap by this time.
 const CLAIMANT_TIMEOUT: Span = Span::from_millis(500);
 
-/// Time for which polls stay dense after a request.
+/// Time after a request during which instances are polled at the busy interval.
 const BUSY_PERIOD: Span = Span::from_millis(1_000);
 
-/// Interval at which the record is read again while it is needed and not known.
+/// Interval at which an unanswered read of the record is repeated.
 const READ_RETRY: Span = Span::from_millis(500);
 
-/// Longest single wait of an instance for a position; afterwards it is asked anew, so that
-/// a lost answer does not hold up a confirmation. It lies well below [`crate::failure_detector::DOUBT_AFTER`]
-/// because status questions queue behind it on the same connection.
+/// Longest single wait of an instance for a position. The query is then repeated, so that
+/// a lost response does not block a confirmation. It lies well below
+/// [`crate::failure_detector::PROBE_AFTER`] because status queries queue behind it on the
+/// same connection.
 const MAX_WAIT: Span = Span::from_millis(50);
 
 impl Group {
@@ -51,14 +54,14 @@
         self.settle_confirmations();
     }
 
-    /// A proxy that starts reads the record once; afterwards it hears of changes from the
-    /// instances and from other proxies, which spares the store.
+    /// Reads the record once after the start. Later changes are learnt from instances and
+    /// other proxies, which saves load on the store.
     fn read_record(&mut self) {
         if self.known_record.is_some() {
             return;
         }
-        let open = |at| self.now.since(at) < READ_RETRY;
-        if self.pending_read.is_some_and(|(_, at)| open(at)) {
+        let pending = |at| self.now.since(at) < READ_RETRY;
+        if self.pending_read.is_some_and(|(_, at)| pending(at)) {
             return;
         }
         let query = self.query_store(StoreRequest::Read);
@@ -71,7 +74,7 @@
             spec: &self.spec,
             primary,
             since: self.leadership.since,
-            reach: self.reachability.get(primary).copied().unwrap_or_default(),
+            reachability: self.reachability.get(primary).copied().unwrap_or_default(),
             seen: &self.observations,
             peers: &self.reports,
         }
@@ -114,8 +117,8 @@
             Verdict::Replace(cause) => What::Replace(primary.clone(), *cause),
         };
         let phase = matches!(verdict, Verdict::Replace(_)).then(|| {
-            let reach = self.reachability.get(primary).copied().unwrap_or_default();
-            (Phase::Detect, reach.unresponsive_for(self.now))
+            let reachability = self.reachability.get(primary).copied().unwrap_or_default();
+            (Phase::Detect, reachability.unresponsive_for(self.now))
         });
         let suspected = verdict == Verdict::Suspect;
         self.verdict = verdict;
@@ -123,21 +126,21 @@
         if suspected && self.rank() < PREPARING_PROXIES {
             self.prepare_connections(primary);
         }
-        self.decide(what, trace, phase, evidence, vec![]);
+        self.record_decision(what, trace, phase, evidence, vec![]);
     }
 
-    /// Asks the other instances on fresh connections, which the fence then reuses: to
-    /// another region opening one costs two round trips and the server's own time.
+    /// Queries the other instances on fresh connections, which the fence then reuses.
+    /// Opening one to another region takes two round trips and the server's own time.
     fn prepare_connections(&mut self, primary: &InstanceId) {
         let others = self.spec.members.keys().filter(|id| *id != primary);
         let others: Vec<_> = others.cloned().collect();
         for other in others {
-            self.send(&other, Command::Status, Channel::Fresh);
+            self.send_command(&other, Command::Status, Channel::Fresh);
         }
     }
 
-    /// A later promise of the primary, or of a majority, means that a claim is being
-    /// carried out, or was left half done.
+    /// Checks whether the primary or a majority has promised a later term: then a claim is
+    /// in progress or was abandoned.
     fn check_deposed(&mut self) {
         let later = |id: &InstanceId| {
             let seen = self.observations.get(id);
@@ -163,7 +166,7 @@
         rank::rank(&self.spec.group, &me, &self.live_proxies, lost)
     }
 
-    /// The reason for an attempt of our own, once it is this proxy's turn.
+    /// The cause for an attempt of this proxy, once its delay by rank has passed.
     fn due_cause(&self) -> Option<Cause> {
         if self.now < self.yield_until {
             return None;
@@ -203,8 +206,9 @@
         self.stage_start = self.now;
     }
 
-    /// Before the claim nothing has happened yet: a primary that answers again stays. A
-    /// published attempt whose primary failed in turn gives way to the next one.
+    /// Drops an attempt without a claim, which has had no effect yet, if its cause is gone:
+    /// a primary that responds again stays. Also drops an attempt whose promoted primary has
+    /// failed before it was published, so that the next attempt can start.
     fn drop_obsolete_attempt(&mut self) {
         let Some(attempt) = &self.attempt else {
             return;
@@ -217,7 +221,7 @@
         }
     }
 
-    /// Highest term that was heard of anywhere.
+    /// Highest term that any instance reported or that is known to have a primary.
     fn highest_term(&self) -> Term {
         let seen = self
             .observations
@@ -238,7 +242,7 @@
         };
         for request in attempt.requests(now, &self.spec) {
             match request {
-                Request::Instance(id, command) => self.send(&id, command, Channel::Fresh),
+                Request::Instance(id, command) => self.send_command(&id, command, Channel::Fresh),
                 Request::Store(request) => {
                     let query = self.query_store(request);
                     if let Some(attempt) = self.attempt.as_mut() {
@@ -271,8 +275,8 @@
             };
             match due {
                 Due::Nothing => {}
-                Due::Steady => self.send(&member, Command::Status, Channel::Persistent),
-                Due::Fresh => self.send(&member, Command::Status, Channel::Fresh),
+                Due::Steady => self.send_command(&member, Command::Status, Channel::Persistent),
+                Due::Fresh => self.send_command(&member, Command::Status, Channel::Fresh),
             }
         }
     }
@@ -303,6 +307,6 @@
             position,
             timeout: MAX_WAIT,
         };
-        self.send(member, command, Channel::Persistent);
+        self.send_command(member, command, Channel::Persistent);
     }
 }
--- a/crates/policy/src/group/waiting.rs
+++ b/crates/policy/src/group/waiting.rs
@@ -1,9 +1,10 @@
-//! Requests that wait for a route. None of them has run.
+//! Requests that wait for a route. None of them has run yet.
 //!
-//! Load: when a primary fails, every writer of the fleet waits for the next one. They wait
-//! here, within their deadlines and up to the setting `queue`, and run once it leads;
-//! more would only fill memory and then the new primary. Where no change of primary can
-//! come about, a request is refused at once with the time to come back.
+//! When a primary fails, all writers of the fleet wait for the next one. Requests are
+//! queued here until their deadlines, at most as many as the setting `queue` allows, and
+//! are routed once a primary leads. More queued requests would fill the memory and then
+//! overload the new primary. When no change of primary is possible, a request is rejected
+//! at once with a time to retry.
 
 use model::id::InstanceId;
 use model::position::Point;
@@ -16,17 +17,19 @@
 use crate::route::{Failure, ReadNeed, Refusal, Target};
 use crate::status::Role;
 
-/// Longest time that a request waits for a primary or a fresh instance. The slowest
-/// change of primary aimed at takes 3 s; after that nothing says when the next will come.
+/// Longest time that a request waits for a primary or a fresh instance. A change of primary
+/// is meant to take 3 s at most; beyond that its end is unpredictable.
 const MAX_WAIT: Span = Span::from_millis(3_000);
 
-/// Time after the start in which the instances may still be unknown.
+/// Time after the start during which the instances may not have responded yet, and a
+/// majority never counts as unreachable.
 const STARTUP_PERIOD: Span = Span::from_millis(1_000);
 
-/// Silence after which an instance counts as out of reach. It is longer than a stall.
+/// Time without a response after which an instance counts as unreachable. It is longer than
+/// a stall.
 const UNREACHABLE_AFTER: Span = Span::from_millis(1_000);
 
-/// When to try again after a refusal: most changes of primary are over within it.
+/// Delay that a rejection suggests before a retry; most changes of primary are shorter.
 const RETRY: Span = Span::from_millis(1_000);
 
 #[derive(Clone, Copy, Debug)]
@@ -35,7 +38,7 @@
     Read(ReadNeed),
 }
 
-/// A request without a route so far.
+/// A request that has no route yet.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Waiting {
     request: RequestId,
@@ -111,8 +114,8 @@
         }
     }
 
-    /// A proxy that knows only an older term than the session's waits for news: under the
-    /// older term the session would not see its own writes.
+    /// Routes a write. While the session's term is newer than the known primary's, the write
+    /// waits: under the older term the session would not see its own writes.
     fn route_write(&self, point: Option<Point>) -> Option<Result<Target, Refusal>> {
         if self.lacks_majority() {
             return Some(Err(Refusal::NoMajority { retry: RETRY }));
@@ -130,24 +133,26 @@
         Some(Ok(target))
     }
 
-    /// The primary, unless it is in doubt, or something has promised a later term.
+    /// The primary, unless it is unresponsive and no peer reaches it, or a later term was
+    /// promised.
     fn usable_primary(&self) -> Option<&InstanceId> {
         let primary = self.leadership.primary.as_ref()?;
-        let reach = self.reachability.get(primary).copied().unwrap_or_default();
-        let responds = reach.unresponsive_for(self.now) < PROBE_AFTER;
+        let reachability = self.reachability.get(primary).copied().unwrap_or_default();
+        let responds = reachability.unresponsive_for(self.now) < PROBE_AFTER;
         let forwarded = matches!(self.verdict, Verdict::Forward(_));
         (self.deposed_since.is_none() && (responds || forwarded)).then_some(primary)
     }
 
-    /// Whether most instances have been out of reach for so long that no write could be
-    /// confirmed and no promotion could succeed.
+    /// Whether so many instances are unreachable that no write can be confirmed and no
+    /// promotion can succeed.
     fn lacks_majority(&self) -> bool {
         if self.now.since(self.started) < STARTUP_PERIOD {
             return false;
         }
         let unreachable = |id| {
-            let reach = self.reachability.get(id).copied().unwrap_or_default();
-            reach.last_response.is_none() || reach.unresponsive_for(self.now) >= UNREACHABLE_AFTER
+            let reachability = self.reachability.get(id).copied().unwrap_or_default();
+            reachability.last_response.is_none()
+                || reachability.unresponsive_for(self.now) >= UNREACHABLE_AFTER
         };
         let unreachable = self
             .spec
@@ -159,10 +164,10 @@
     }
 
     fn route_read(&self, need: ReadNeed, arrived: Time) -> Option<Result<Target, Refusal>> {
-        // An instance that does not answer holds up a read for longer than any queue.
+        // A read on an unresponsive instance would take longer than any queue.
         let responds = |id: &InstanceId| {
-            let reach = self.reachability.get(id).copied().unwrap_or_default();
-            reach.unresponsive_for(self.now) < PROBE_AFTER
+            let reachability = self.reachability.get(id).copied().unwrap_or_default();
+            reachability.unresponsive_for(self.now) < PROBE_AFTER
         };
         let seen = self
             .observations
@@ -188,7 +193,7 @@
         match choice.pick() {
             Pick::Go(instance, point) => self.target(&instance, point).map(Ok),
             Pick::Forked(point) => Some(Err(Refusal::Forked { point })),
-            // In a data centre that is cut off no fresher state will arrive for now.
+            // A partitioned data centre receives no fresher state for now.
             Pick::Wait if self.lacks_majority() => Some(Err(Refusal::NoneFresh { retry: RETRY })),
             Pick::Wait => None,
         }
@@ -208,8 +213,8 @@
         })
     }
 
-    /// Arrival of the newest read that waits for proof, if any: instances are asked at
-    /// once, and one round of questions serves every read that arrived before it.
+    /// Arrival of the newest request that needs a later observation, if any. Instances are
+    /// then queried at once; one round of queries serves all requests that arrived before it.
     pub(super) fn unproven_since(&self) -> Option<Time> {
         let unproven = |w: &&Waiting| match w.access {
             Access::Write(point) => point.is_some_and(|p| p.term > self.leadership.term),
@@ -226,7 +231,7 @@
             Failure::Refused | Failure::Broken | Failure::ReadOnly
         );
         if refused {
-            // The next step asks every instance at once instead of after the interval.
+            // The next step queries every instance at once instead of after the interval.
             self.polls.values_mut().for_each(crate::poll::Poll::hurry);
         }
     }
--- a/crates/policy/src/leadership.rs
+++ b/crates/policy/src/leadership.rs
@@ -1,4 +1,4 @@
-//! The leadership record of a group, as the platform's store keeps it.
+//! The leadership record of a group in the platform's store.
 
 use model::id::{GroupId, InstanceId, ProxyId};
 use model::position::Term;
@@ -15,7 +15,7 @@
     pub primary: Option<InstanceId>,
     /// Proxy that claimed the term.
     pub claimant: ProxyId,
-    /// Unique for each attempt; a claim whose answer was lost is recognised by it.
+    /// Unique for each attempt; identifies a claim whose response was lost.
     pub nonce: u64,
 }
 
--- a/crates/policy/src/message.rs
+++ b/crates/policy/src/message.rs
@@ -1,4 +1,4 @@
-//! Events that a group controller is driven by, and the actions that it asks for.
+//! Events that a group controller processes, and the actions that it returns.
 
 use model::id::{GroupId, InstanceId, ProxyId};
 use model::location::Location;
@@ -11,27 +11,28 @@
 use crate::spec::Spec;
 use crate::status::Status;
 
-/// Names a request of a caller until it is answered.
+/// Identifies a request of a caller until its response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct RequestId(pub u64);
 
-/// Names a question to an instance or to the store until it is answered.
+/// Identifies a query or command to an instance, or a request to the store, until its
+/// response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct QueryId(pub u64);
 
-/// A question or order to an instance; the answer is its status row.
+/// A status query or a command to an instance; the response is its status row.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Command {
-    /// Its status at once.
+    /// Return the status at once.
     Status,
-    /// Its status once it holds the position, or after the time.
+    /// Return the status once the log reaches the position, or after the timeout.
     Wait {
         /// Position to wait for.
         position: Position,
         /// Longest wait.
         timeout: Span,
     },
-    /// Promise the term.
+    /// Promise the term, and accept nothing of a lower one.
     Fence(Term),
     /// Become the primary of the term.
     Promote(Term),
@@ -44,26 +45,27 @@
     },
 }
 
-/// Connection that a question goes out on.
+/// Connection on which a command is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Channel {
-    /// The long-lived one, behind earlier questions.
+    /// The long-lived one, behind earlier queries.
     Persistent,
-    /// A new one: an answer proves that the server accepts connections now. Orders also
-    /// go this way, so that they never queue behind a waiting question.
+    /// A separate one: for a status query a new one, as its response then proves that the
+    /// server accepts connections now. Commands use one too, so that they never queue behind
+    /// a waiting query.
     Fresh,
 }
 
 /// A request to the platform's store about the group's leadership record.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StoreRequest {
-    /// The record as it stands.
+    /// Read the record.
     Read,
     /// Write the record if its revision is still the expected one (0: absent).
     Swap {
-        /// Revision that the record must have.
+        /// Revision that the record must have for the swap to take effect.
         expected: Revision,
-        /// What to write.
+        /// The record to write.
         record: Record,
     },
 }
@@ -77,23 +79,23 @@
     pub record: Option<Record>,
 }
 
-/// What the store answered.
+/// The response of the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StoreReply {
     /// The record as read, or as found by a swap that changed nothing.
     Found(Versioned),
     /// The swap took effect at this revision.
     Swapped(Revision),
-    /// No answer: the store is down, or the answer was lost after the change took effect.
+    /// No response: the store is down, or the response was lost after the change took effect.
     Unknown,
 }
 
-/// What one proxy tells another about a group's primary.
+/// What one proxy reports to another about a group's primary.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct PeerReport {
     /// The group.
     pub group: GroupId,
-    /// The proxy that speaks.
+    /// The reporting proxy.
     pub proxy: ProxyId,
     /// Where it runs.
     #[serde(rename = "place")]
@@ -102,13 +104,13 @@
     pub term: Term,
     /// The primary of that term.
     pub primary: Option<InstanceId>,
-    /// Time since the primary last answered it; `None` when it never did.
+    /// Time since the primary last responded to it; `None` if it never did.
     #[serde(rename = "heard")]
     pub contact_age: Option<Span>,
-    /// Time for which its questions to the primary have gone without an answer.
+    /// Time for which the primary has not responded to its queries.
     #[serde(rename = "silent")]
     pub unresponsive_for: Span,
-    /// Whether it doubts the primary and wants the receiver's view in return.
+    /// Whether it suspects the primary and requests the receiver's report in return.
     #[serde(rename = "asks")]
     pub wants_reply: bool,
 }
@@ -127,63 +129,63 @@
 pub enum Event {
     /// Time passed.
     Tick,
-    /// A newer configuration of the group.
+    /// The configuration of the group in force.
     Configure(Box<Spec>),
-    /// The live proxies, this one included or not.
+    /// The live proxies, with or without this one.
     Peers(Vec<Peer>),
-    /// Another proxy's view.
+    /// A report of another proxy.
     PeerReport(PeerReport),
-    /// An instance answered, or failed to.
+    /// An instance responded, or the query failed.
     Response {
-        /// Question that was asked.
+        /// The query or command.
         query: QueryId,
         /// Status row, or how the connection failed.
         result: Result<Status, Failure>,
     },
-    /// The store answered.
+    /// The store replied.
     Store {
-        /// Request that was made.
+        /// The request to the store.
         query: QueryId,
-        /// Its outcome.
+        /// Its reply.
         reply: StoreReply,
     },
-    /// News of the record from a watch or a peer.
+    /// A state of the record, from a watch or a peer.
     Record(Versioned),
-    /// A request wants the primary.
+    /// A request needs a route to the primary.
     RouteWrite {
         /// The request.
         request: RequestId,
         /// Newest point of its session.
         point: Option<Point>,
-        /// When the answer is worthless.
+        /// Time after which the response is useless.
         deadline: Time,
     },
-    /// A request wants to read.
+    /// A request needs a route for a read.
     RouteRead {
         /// The request.
         request: RequestId,
-        /// What it must see.
+        /// The state that it must see.
         need: ReadNeed,
-        /// When the answer is worthless.
+        /// Time after which the response is useless.
         deadline: Time,
     },
-    /// A write ran; may it be acknowledged?
+    /// A write ran, and its caller waits for the acknowledgement.
     Confirm {
         /// The request.
         request: RequestId,
-        /// End of the write, under the term that it was routed to.
+        /// End of the write in the log, under the term that it was routed to.
         point: Point,
-        /// When the answer is worthless.
+        /// Time after which the response is useless.
         deadline: Time,
     },
-    /// A request on an instance ended after this time.
+    /// A request on an instance completed.
     Finished {
         /// The instance.
         instance: InstanceId,
-        /// From sending to the whole answer.
+        /// Time from sending to the complete response.
         took: Span,
     },
-    /// A request that was routed to an instance did not go there.
+    /// A request that was routed to an instance was not sent there.
     Released {
         /// The instance.
         instance: InstanceId,
@@ -197,7 +199,7 @@
     },
 }
 
-/// Whom a view is meant for.
+/// Recipients of a report.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Recipients {
     /// Every live proxy.
@@ -209,45 +211,45 @@
 /// An output of a group controller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Put a question to an instance.
+    /// Send a command to an instance.
     Command {
-        /// Names the answer.
+        /// Identifies the response.
         query: QueryId,
-        /// Whom to ask.
+        /// The instance.
         instance: InstanceId,
-        /// What to ask.
+        /// The command.
         command: Command,
-        /// On which connection.
+        /// The connection to use.
         channel: Channel,
     },
-    /// Put a request to the store.
+    /// Send a request to the store.
     Store {
-        /// Names the answer.
+        /// Identifies the response.
         query: QueryId,
-        /// What to ask.
+        /// The request.
         request: StoreRequest,
     },
-    /// Tell other proxies.
+    /// Send a report to other proxies.
     Send {
-        /// Whom.
+        /// The recipients.
         to: Recipients,
-        /// What.
+        /// The report.
         report: PeerReport,
     },
-    /// Answer a routed request.
+    /// Return the route of a request.
     Routed {
         /// The request.
         request: RequestId,
-        /// Its route.
+        /// Its route, or why there is none.
         result: Result<Target, Refusal>,
     },
-    /// Answer a request for confirmation.
+    /// Return the outcome of a confirmation.
     Confirmed {
         /// The request.
         request: RequestId,
         /// Whether it may be acknowledged.
         result: Result<(), Unconfirmed>,
     },
-    /// A decision was recorded; worth a line in the log.
+    /// Log a decision.
     Decided(Decision),
 }
--- a/crates/policy/src/node.rs
+++ b/crates/policy/src/node.rs
@@ -1,4 +1,4 @@
-//! The whole decision side of one proxy: a controller for each group, driven by one call.
+//! All decisions of one proxy about its groups: one controller for each group.
 
 use std::sync::Arc;
 
@@ -20,20 +20,20 @@
     Configure(Arc<Fleet>),
     /// The live proxies.
     Peers(Vec<Peer>),
-    /// Something that concerns one group.
+    /// An event of one group.
     Group(GroupId, Event),
 }
 
 /// An output of the node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Output {
-    /// The group that it concerns.
+    /// The group concerned.
     pub group: GroupId,
-    /// What is to be done.
+    /// The action to carry out.
     pub action: Action,
 }
 
-/// Every controller of one proxy.
+/// The group controllers of one proxy.
 #[derive(Debug)]
 pub struct Node {
     local_proxy: LocalProxy,
@@ -43,7 +43,7 @@
 }
 
 impl Node {
-    /// A node without groups; `seed` is the only source of randomness.
+    /// Creates a node without groups; `seed` is the only source of randomness.
     pub fn new(local_proxy: LocalProxy, seed: u64) -> Self {
         Self {
             local_proxy,
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Takes in one input and gives out what follows from it.
+    /// Processes one input and returns the resulting outputs.
     pub fn step(&mut self, now: Time, input: Input) -> Vec<Output> {
         match input {
             Input::Tick => self.step_all(now, &Event::Tick),
--- a/crates/policy/src/promote.rs
+++ b/crates/policy/src/promote.rs
@@ -1,9 +1,10 @@
-//! One attempt to give a group its next primary.
+//! One attempt to promote the next primary of a group.
 //!
-//! Claim the next term by compare-and-swap, fence a majority at it, choose, promote,
-//! publish. Each step may be sent again without harm, and whoever finds a half-finished
-//! attempt starts one of its own under a higher term; safety rests on the claim and the
-//! fence alone, never on who is believed to coordinate.
+//! An attempt claims the next term by compare-and-swap, fences a majority of instances at
+//! that term, chooses an instance, promotes it and publishes it in the record. Each step may
+//! be repeated without harm. A proxy that finds an unfinished attempt starts its own under a
+//! higher term. Safety rests on the claim and the fence alone, not on which proxy is believed
+//! to be the coordinator.
 
 use indexmap::IndexMap;
 use model::id::{InstanceId, ProxyId};
@@ -16,63 +17,65 @@
 use crate::spec::Spec;
 use crate::status::Status;
 
-/// Interval at which an unanswered order to an instance is sent again.
+/// Interval at which an unanswered command to an instance is repeated.
 pub const COMMAND_RETRY: Span = Span::from_millis(100);
 
-/// Time for an answer of the store before the request is made again. A slow store that
-/// answers later is still understood, since requests carry a nonce.
+/// Time after which an unanswered request to the store is repeated. A later reply to the
+/// first request is still accepted; the nonce in the record identifies the claim.
 pub const STORE_RETRY: Span = Span::from_millis(300);
 
-/// Time for the chosen instance to lead. Then the next term is claimed: under one term
-/// never more than one instance may be promoted, as the first may have obeyed unseen.
+/// Time in which the chosen instance must become the primary. After it the attempt ends, and
+/// a new one claims the next term: under one term at most one instance may be promoted, as
+/// the first may have carried out the command although its response was lost.
 const PROMOTE_TIMEOUT: Span = Span::from_millis(400);
 
-/// Stage of an attempt.
+/// Step of an attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// The record is being read, to claim the term after it.
+    /// The record is being read, to claim a term above the record's.
     Reading,
-    /// The claim is under way.
+    /// The claim is sent.
     Claiming,
-    /// The claim's answer was lost; the record is being read to see whether it holds.
+    /// The reply to the claim was lost; the record is being read to find out whether the
+    /// claim took effect.
     Settling,
-    /// The term is claimed at this revision; a majority is being fenced.
+    /// The term is claimed; a majority is being fenced.
     Fencing,
-    /// This instance was told to lead.
+    /// This instance is commanded to become the primary.
     Promoting(InstanceId),
     /// This instance leads; the record is being written.
     Publishing(InstanceId),
 }
 
-/// What an attempt asks for.
+/// A request of an attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Request {
     /// A request to the store.
     Store(StoreRequest),
-    /// An order to an instance.
+    /// A command to an instance.
     Instance(InstanceId, Command),
 }
 
-/// What became of a step.
+/// Outcome of a step.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Progress {
     /// The term is claimed.
     Claimed,
-    /// Another proxy's record is newer; the attempt is over.
+    /// The record has changed since the claim was based on it; the attempt is over.
     Superseded(Versioned),
     /// An instance promised a later term; the attempt is over.
     Fenced(InstanceId, Term),
     /// An instance was chosen among the fenced majority.
     Chosen(Choice),
-    /// The chosen instance leads.
+    /// The chosen instance is the primary.
     Promoted(InstanceId),
-    /// The chosen instance did not lead in time; the attempt is over.
+    /// The chosen instance did not become the primary in time; the attempt is over.
     TimedOut(InstanceId),
     /// The record names the primary; the attempt is over.
     Published(InstanceId, Versioned),
 }
 
-/// The chosen instance, with what spoke for it and what ruled out the others.
+/// The chosen instance, with the evidence and what ruled out the others.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Choice {
     /// The instance.
@@ -86,15 +89,15 @@
 /// An attempt under way.
 #[derive(Clone, Debug)]
 pub struct Attempt {
-    /// Why there is one.
+    /// Why the primary is replaced.
     pub cause: Cause,
-    /// Links its decisions.
+    /// Identifier shared by its decisions.
     pub trace: TraceId,
-    /// What is or will be claimed.
+    /// The record that is or will be written by the claim.
     pub record: Record,
-    /// Stage reached.
+    /// Current step.
     pub step: Step,
-    /// When the stage began.
+    /// When the step began; `Reading` to `Settling` count as one.
     pub since: Time,
     revision: Revision,
     fenced: IndexMap<InstanceId, Status>,
@@ -104,8 +107,8 @@
 }
 
 impl Attempt {
-    /// An attempt from the newest known record, or from reading it when none is known.
-    /// `floor` is the highest term seen anywhere; the claim lies above it.
+    /// Creates an attempt based on the newest known record; if none is known, the attempt
+    /// reads it first. `floor` is the highest known term; the claimed term lies above it.
     pub fn new(
         now: Time,
         me: &ProxyId,
@@ -155,12 +158,12 @@
         self.commanded.clear();
     }
 
-    /// Whether the claim holds, so that orders may go out under its term.
+    /// Whether the claim took effect, so that commands may be sent under its term.
     pub fn has_claim(&self) -> bool {
         !matches!(self.step, Step::Reading | Step::Claiming | Step::Settling)
     }
 
-    /// Takes in an answer of the store.
+    /// Processes a reply of the store.
     pub fn take_store_reply(
         &mut self,
         now: Time,
@@ -199,9 +202,10 @@
         Progress::Claimed
     }
 
-    /// A lost answer is settled by reading: the record carries the nonce of its writer.
-    /// If it is the one that the claim was based on, the claim may still be on its way;
-    /// sending it again is safe since only one of the two can meet the revision.
+    /// Determines whether the claim took effect: the record contains its writer's nonce.
+    ///
+    /// If the record is still the one that the claim was based on, the claim may still be in
+    /// transit. Repeating it is safe, since only one of the two can match the revision.
     fn settle(&mut self, now: Time, found: Versioned) -> Option<Progress> {
         let ours = found.record.as_ref().is_some_and(|r| *r == self.record);
         if ours {
@@ -237,8 +241,8 @@
         }
     }
 
-    /// Takes in a status of an instance, whatever question it answers: once fenced at the
-    /// claimed term, a log stays as it is until the term has a primary.
+    /// Processes a status of an instance, whichever query it responds to: the log of an
+    /// instance fenced at the claimed term does not change until the term has a primary.
     pub fn observe(
         &mut self,
         now: Time,
@@ -275,8 +279,8 @@
             .get(&choice.instance)
             .is_some_and(|m| m.leaving);
         let complete = self.fenced.len() == spec.members.len();
-        // A planned change has the leaving primary among the first to be fenced; another
-        // answer lets one be chosen that stays.
+        // In a planned change the leaving primary is usually among the first fenced instances;
+        // waiting for another response allows the choice of an instance that stays.
         if leaving && !complete && now.since(self.since) < PROMOTE_TIMEOUT {
             return None;
         }
@@ -284,7 +288,7 @@
         Some(Progress::Chosen(choice))
     }
 
-    /// What is to be sent now; the caller names store requests by `note_store`.
+    /// Requests to send now; after a request to the store the caller calls `store_queried`.
     pub fn requests(&mut self, now: Time, spec: &Spec) -> Vec<Request> {
         match self.step.clone() {
             Step::Reading | Step::Settling => self.query_store(now, StoreRequest::Read),
@@ -326,7 +330,7 @@
         }
     }
 
-    /// Notes the name that a store request went out under.
+    /// Records the id of a sent request to the store.
     pub fn store_queried(&mut self, now: Time, query: QueryId) {
         self.queries.push(query);
         self.store_sent = Some(now);
@@ -342,7 +346,7 @@
         Request::Instance(instance, command)
     }
 
-    /// Whether the chosen instance took too long.
+    /// Whether the promotion of the chosen instance timed out.
     pub fn timed_out(&self, now: Time) -> Option<Progress> {
         match &self.step {
             Step::Promoting(chosen) if now.since(self.since) >= PROMOTE_TIMEOUT => {
@@ -355,10 +359,10 @@
 
 /// Chooses the next primary among fenced instances.
 ///
-/// An acknowledged record is held by a majority, so any majority has an instance with it.
-/// An instance is safe when a majority of logs, its own included, end no later than its
-/// log does. Among the safe ones those that stay in service go first, then the longest
-/// log, then the order of declaration.
+/// An acknowledged record is held by a majority, so any majority contains an instance that
+/// holds it. An instance is safe to promote when a majority of logs, its own included, end no
+/// later than its log. Among the safe instances, those that are not leaving are preferred,
+/// then the one with the newest end of its log, then the first declared.
 pub fn choose(spec: &Spec, fenced: &IndexMap<InstanceId, Status>) -> Option<Choice> {
     let safe = |end: Point| fenced.values().filter(|s| s.end() <= end).count() >= spec.majority();
     let mut best: Option<(&InstanceId, (bool, Point))> = None;
--- a/crates/policy/src/spec.rs
+++ b/crates/policy/src/spec.rs
@@ -1,4 +1,4 @@
-//! A database group as its controllers see it: instances with places, and settings.
+//! A database group from the view of its controllers: instances with locations, settings.
 
 use std::net::SocketAddr;
 
@@ -11,15 +11,15 @@
 /// One instance of the group.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// Address that callers' statements and status questions go to.
+    /// Address for callers' statements and status queries.
     pub address: SocketAddr,
     /// Where it runs.
     pub location: Location,
-    /// Whether it is being taken out of service.
+    /// Whether it is being decommissioned.
     pub leaving: bool,
 }
 
-/// The declared group.
+/// A group as declared in the configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Spec {
     /// Name of the group.
@@ -31,7 +31,8 @@
 }
 
 impl Spec {
-    /// Takes the group out of a configuration; `None` if it is not declared there.
+    /// Reads the group from a configuration; `None` if the group, or a data centre of its
+    /// instances, is not declared there.
     pub fn new(fleet: &Fleet, group: &GroupId) -> Option<Self> {
         let declared = fleet.groups.get(group)?;
         let mut members = IndexMap::new();
@@ -50,7 +51,7 @@
         })
     }
 
-    /// Instances that make a majority.
+    /// Number of instances in a majority.
     pub fn majority(&self) -> usize {
         self.members.len() / 2 + 1
     }
--- a/crates/policy/src/status.rs
+++ b/crates/policy/src/status.rs
@@ -1,32 +1,32 @@
-//! What an instance says about its replication, and what an observation of it proves.
+//! Replication status of an instance, and what an observation of it proves.
 
 use model::position::{Coverage, History, Point, Position, Term};
 use model::unit::{Span, Time};
 
-/// Part that an instance plays in its group.
+/// Role of an instance in its group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Role {
     /// It accepts writes, unless it is fenced at a higher term than its own.
     Primary,
-    /// It receives the log of a primary.
+    /// It replicates the log of a primary.
     Replica,
 }
 
 /// The status row of an instance.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Status {
-    /// Part that the instance plays.
+    /// Role of the instance.
     pub role: Role,
-    /// Highest term that it promised; it accepts nothing of a lower one.
+    /// Highest term that it has promised; it accepts nothing of a lower one.
     pub fenced: Term,
-    /// Terms that wrote its log.
+    /// Terms whose records its log holds.
     pub history: History,
-    /// End of the log that it holds.
+    /// End of its log.
     pub received: Position,
-    /// End of the log that its readers see; never beyond `received`.
+    /// End of the log as visible to its readers; never beyond `received`.
     pub applied: Position,
-    /// Time since it heard its primary; zero on a primary.
+    /// Time since its last contact with its primary; zero on a primary.
     #[serde(rename = "heard")]
     pub contact_age: Span,
 }
@@ -46,32 +46,32 @@
         }
     }
 
-    /// Whether the instance leads its own term and has promised no later one.
+    /// Whether the instance is the primary of its own term and has promised no later one.
     pub fn leads(&self) -> bool {
         self.role == Role::Primary && self.fenced <= self.term()
     }
 
-    /// Whether this counts towards the acknowledgement of `point`.
+    /// Whether this status counts towards the acknowledgement of `point`.
     ///
-    /// A fence at a later term may already have counted the instance's log without the
-    /// record; so a status that shows such a fence proves nothing about an older term.
+    /// A promotion under a later term may already have fenced the instance and evaluated its
+    /// log without the record; a status with such a fence proves nothing about an older term.
     pub fn holds(&self, point: Point) -> bool {
         self.fenced <= point.term && self.history.covers(point, self.received) == Coverage::Held
     }
 
-    /// Whether readers of the instance see `point`.
+    /// Whether `point` is visible to readers of the instance.
     pub fn shows(&self, point: Point) -> Coverage {
         self.history.covers(point, self.applied)
     }
 }
 
-/// A status together with the span of time in which it was true.
+/// A status together with the period during which it was valid.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Observation {
-    /// What the instance answered.
+    /// The status that the instance reported.
     pub status: Status,
-    /// When the question was sent: the status was true at some moment since then.
+    /// When the query was sent: the status was valid at some moment since then.
     pub queried_at: Time,
-    /// When the answer arrived.
+    /// When the response arrived.
     pub received_at: Time,
 }
