--- a/crates/policy/tests/failover/fake/caller.rs
+++ b/crates/policy/tests/failover/fake/caller.rs
@@ -6,38 +6,38 @@
 use policy::route::{ReadNeed, Refusal, Target, Unconfirmed};
 use policy::status::Role;
 
-use super::oracle::{Begun, Violation};
-use super::{Message, Who, World};
+use super::oracle::{Expectations, Violation};
+use super::{Message, ProxyProcess, World};
 
 /// Time that a caller gives a request.
-const PATIENCE: Span = Span::from_millis(5_000);
+const REQUEST_TIMEOUT: Span = Span::from_millis(5_000);
 
 /// How a read states what it must see.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Marks {
+pub(crate) enum Requirement {
     /// With the session's token.
     Token,
     /// Without anything: the session must see its writes all the same.
-    Nothing,
+    Unstated,
     /// With an accepted age in milliseconds, and the token.
-    Age(u64),
+    MaxAge(u64),
 }
 
 /// A request of a caller that has no final answer.
 #[derive(Clone, Debug)]
-pub(crate) struct Open {
+pub(crate) struct PendingRequest {
     pub(crate) request: RequestId,
     pub(crate) session: usize,
     pub(crate) write: Option<u64>,
-    pub(crate) begun: Begun,
+    pub(crate) expectations: Expectations,
     pub(crate) target: Option<Target>,
     pub(crate) point: Point,
 }
 
 /// A statement on its way to an instance.
 #[derive(Clone, Debug)]
-pub(crate) struct Exec {
-    pub(crate) who: Who,
+pub(crate) struct Statement {
+    pub(crate) proxy: ProxyProcess,
     pub(crate) request: RequestId,
     pub(crate) instance: usize,
     pub(crate) write: Option<u64>,
@@ -46,7 +46,7 @@
 /// Its result on the way back.
 #[derive(Clone, Debug)]
 pub(crate) struct Executed {
-    pub(crate) exec: Exec,
+    pub(crate) statement: Statement,
     pub(crate) point: Option<Point>,
     pub(crate) shown: Vec<u64>,
 }
@@ -60,17 +60,17 @@
 
 /// Counts of final answers.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Told {
-    pub(crate) acked: usize,
-    pub(crate) refused: usize,
+pub(crate) struct Outcomes {
+    pub(crate) acknowledged: usize,
+    pub(crate) rejected: usize,
     pub(crate) unknown: usize,
 }
 
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Callers {
     pub(crate) sessions: Vec<Session>,
-    pub(crate) open: Vec<Open>,
-    pub(crate) told: Told,
+    pub(crate) pending: Vec<PendingRequest>,
+    pub(crate) outcomes: Outcomes,
     next: u64,
 }
 
@@ -92,16 +92,16 @@
     pub(crate) fn write(&mut self, proxy: usize, session: usize) -> u64 {
         let request = self.request_id();
         let token = self.session(session).token;
-        let open = Open {
+        let pending = PendingRequest {
             request,
             session,
             write: Some(request.0),
-            begun: self.oracle.begin(),
+            expectations: self.oracle.expectations(),
             target: None,
             point: Point::default(),
         };
-        self.oracle.callers.open.push(open);
-        let deadline = self.now + PATIENCE;
+        self.oracle.callers.pending.push(pending);
+        let deadline = self.now + REQUEST_TIMEOUT;
         let point = Some(token);
         self.event(
             proxy,
@@ -115,36 +115,36 @@
     }
 
     /// Sends a read of the session through a proxy.
-    pub(crate) fn read(&mut self, proxy: usize, session: usize, marks: Marks) {
+    pub(crate) fn read(&mut self, proxy: usize, session: usize, requirement: Requirement) {
         let request = self.request_id();
         let Session { token, writes } = self.session(session).clone();
-        let mut begun = self.oracle.begin();
-        begun.shows = match marks {
-            Marks::Token => writes,
-            Marks::Nothing => self.oracle.acked_until(self.now.as_micros()),
-            Marks::Age(ms) => {
+        let mut expectations = self.oracle.expectations();
+        expectations.must_show = match requirement {
+            Requirement::Token => writes,
+            Requirement::Unstated => self.oracle.acked_until(self.now.as_micros()),
+            Requirement::MaxAge(ms) => {
                 let at = self.now.as_micros().saturating_sub(ms * 1_000);
-                let mut shows = self.oracle.acked_until(at);
-                shows.extend(writes);
-                shows
+                let mut must_show = self.oracle.acked_until(at);
+                must_show.extend(writes);
+                must_show
             }
         };
-        self.oracle.callers.open.push(Open {
+        self.oracle.callers.pending.push(PendingRequest {
             request,
             session,
             write: None,
-            begun,
+            expectations,
             target: None,
             point: token,
         });
         let need = ReadNeed {
-            point: (marks != Marks::Nothing).then_some(token),
-            max_age: match marks {
-                Marks::Age(ms) => Some(Span::from_millis(ms)),
-                Marks::Token | Marks::Nothing => None,
+            point: (requirement != Requirement::Unstated).then_some(token),
+            max_age: match requirement {
+                Requirement::MaxAge(ms) => Some(Span::from_millis(ms)),
+                Requirement::Token | Requirement::Unstated => None,
             },
         };
-        let deadline = self.now + PATIENCE;
+        let deadline = self.now + REQUEST_TIMEOUT;
         self.event(
             proxy,
             Event::RouteRead {
@@ -155,22 +155,27 @@
         );
     }
 
-    fn find(&mut self, request: RequestId) -> Option<&mut Open> {
-        let mut open = self.oracle.callers.open.iter_mut();
-        open.find(|o| o.request == request)
+    fn find(&mut self, request: RequestId) -> Option<&mut PendingRequest> {
+        let mut pending = self.oracle.callers.pending.iter_mut();
+        pending.find(|o| o.request == request)
     }
 
-    fn close(&mut self, request: RequestId) -> Option<Open> {
-        let open = &mut self.oracle.callers.open;
-        let at = open.iter().position(|o| o.request == request)?;
-        Some(open.swap_remove(at))
+    fn close(&mut self, request: RequestId) -> Option<PendingRequest> {
+        let pending = &mut self.oracle.callers.pending;
+        let at = pending.iter().position(|o| o.request == request)?;
+        Some(pending.swap_remove(at))
     }
 
-    pub(crate) fn routed(&mut self, who: Who, request: RequestId, result: Result<Target, Refusal>) {
+    pub(crate) fn routed(
+        &mut self,
+        proxy: ProxyProcess,
+        request: RequestId,
+        result: Result<Target, Refusal>,
+    ) {
         let target = match result {
             Ok(target) => target,
             Err(refusal) => {
-                self.oracle.callers.told.refused += 1;
+                self.oracle.callers.outcomes.rejected += 1;
                 if let Refusal::Forked { point } = refusal {
                     self.oracle.violations.push(Violation::Forked(point));
                 }
@@ -178,20 +183,20 @@
                 return;
             }
         };
-        let Some(open) = self.find(request) else {
+        let Some(pending) = self.find(request) else {
             return;
         };
-        open.target = Some(target.clone());
-        let write = open.write;
+        pending.target = Some(target.clone());
+        let write = pending.write;
         let instance = target.instance.as_str()[1..].parse().unwrap();
-        let exec = Exec {
-            who,
+        let statement = Statement {
+            proxy,
             request,
             instance,
             write,
         };
-        let home = self.proxies[who.0].site;
-        self.send_once(home, instance, Message::Exec(exec));
+        let home = self.proxies[proxy.0].site;
+        self.send_once(home, instance, Message::Statement(statement));
     }
 
     /// Statements travel on a connection: they may be lost, but not doubled.
@@ -201,39 +206,47 @@
         self.loss = loss;
     }
 
-    pub(crate) fn execute(&mut self, exec: Exec) {
-        let instance = &mut self.instances[exec.instance];
+    pub(crate) fn execute(&mut self, statement: Statement) {
+        let instance = &mut self.instances[statement.instance];
         if !instance.up {
             return;
         }
-        let point = exec.write.and_then(|w| instance.write(w));
+        let point = statement.write.and_then(|w| instance.write(w));
         let visible = &instance.log[..instance.applied];
         let shown = visible.iter().map(|(_, w)| *w).collect();
-        let (from, to) = (exec.instance, self.proxies[exec.who.0].site);
-        let done = Executed { exec, point, shown };
-        self.send_once(from, to, Message::Executed(done));
+        let (from, to) = (statement.instance, self.proxies[statement.proxy.0].site);
+        let executed = Executed {
+            statement,
+            point,
+            shown,
+        };
+        self.send_once(from, to, Message::Executed(executed));
     }
 
-    pub(crate) fn executed(&mut self, done: Executed) {
-        let Executed { exec, point, shown } = done;
-        let (request, at) = (exec.request, exec.who.0);
-        if self.proxies[at].start != exec.who.1 {
+    pub(crate) fn executed(&mut self, executed: Executed) {
+        let Executed {
+            statement,
+            point,
+            shown,
+        } = executed;
+        let (request, at) = (statement.request, statement.proxy.0);
+        if self.proxies[at].start != statement.proxy.1 {
             return;
         }
-        let Some(open) = self.find(request).cloned() else {
+        let Some(pending) = self.find(request).cloned() else {
             return;
         };
-        let target = open.target.clone().unwrap();
-        match (open.write, point) {
+        let target = pending.target.clone().unwrap();
+        match (pending.write, point) {
             (None, _) => {
-                self.oracle.read(&shown, &open.begun);
+                self.oracle.check_read(&shown, &pending.expectations);
                 let replica = target.role == Role::Replica;
                 self.oracle.replica_reads += usize::from(replica);
                 self.close(request);
             }
             (Some(_), Some(point)) if point.term == target.term => {
                 self.find(request).unwrap().point = point;
-                let deadline = self.now + PATIENCE;
+                let deadline = self.now + REQUEST_TIMEOUT;
                 let event = Event::Confirm {
                     request,
                     point,
@@ -252,25 +265,30 @@
 
     pub(crate) fn confirmed(
         &mut self,
-        _who: Who,
+        _proxy: ProxyProcess,
         request: RequestId,
         result: Result<(), Unconfirmed>,
     ) {
-        let Some(open) = self.close(request) else {
+        let Some(pending) = self.close(request) else {
             return;
         };
-        let (Ok(()), Some(write)) = (result, open.write) else {
-            self.oracle.callers.told.unknown += 1;
+        let (Ok(()), Some(write)) = (result, pending.write) else {
+            self.oracle.callers.outcomes.unknown += 1;
             return;
         };
-        self.oracle.callers.told.acked += 1;
-        let target = open.target.unwrap();
+        self.oracle.callers.outcomes.acknowledged += 1;
+        let target = pending.target.unwrap();
         let by = target.instance.as_str()[1..].parse().unwrap();
         let at: Time = self.now;
-        self.oracle
-            .ack(write, open.point, by, &open.begun, at.as_micros());
-        let session = self.session(open.session);
-        session.token = session.token.max(open.point);
+        self.oracle.record_ack(
+            write,
+            pending.point,
+            by,
+            &pending.expectations,
+            at.as_micros(),
+        );
+        let session = self.session(pending.session);
+        session.token = session.token.max(pending.point);
         session.writes.push(write);
     }
 }
--- a/crates/policy/tests/failover/fake/fault.rs
+++ b/crates/policy/tests/failover/fake/fault.rs
@@ -10,34 +10,34 @@
     /// An instance does nothing, and goes on later where it stopped.
     Freeze(usize),
     /// A data centre reaches no other.
-    Isolate(usize),
+    IsolateSite(usize),
     /// An instance reaches nobody but the proxies of its own data centre.
-    Shut(usize),
+    IsolateInstance(usize),
     /// Two data centres do not reach each other.
-    Cut(usize, usize),
+    Partition(usize, usize),
     /// The same for whichever instance leads when the fault begins.
     DownLeader,
     FreezeLeader,
-    IsolateLeader,
-    ShutLeader,
+    IsolateLeaderSite,
+    IsolateLeaderInstance,
     /// A proxy does nothing, and then takes in at once all that came meanwhile.
     Pause(usize),
     /// A proxy is gone, and a new one takes its place in the end.
     Kill(usize),
     /// A proxy takes itself for the only one, and so coordinates whatever others do.
-    Alone(usize),
+    SeesNoPeers(usize),
     /// An instance is declared to be leaving.
     Leaving(usize),
     /// The store takes no request.
     StoreDown,
     /// Percent of the store's answers that are lost after taking effect.
-    LoseAnswers(u32),
+    LoseReplies(u32),
     /// Percent of messages that are lost, and doubled.
     Loss(u32),
     /// Milliseconds by which messages are delayed and reordered.
     Jitter(u64),
     /// Records that a replica takes in a tick, at most.
-    Copy(u64),
+    ReplicationLimit(u64),
 }
 
 impl World {
@@ -47,12 +47,12 @@
         let fault = match fault {
             Fault::DownLeader => Fault::Down(leader),
             Fault::FreezeLeader => Fault::Freeze(leader),
-            Fault::IsolateLeader => Fault::Isolate(leader),
-            Fault::ShutLeader => Fault::Shut(leader),
+            Fault::IsolateLeaderSite => Fault::IsolateSite(leader),
+            Fault::IsolateLeaderInstance => Fault::IsolateInstance(leader),
             fault => fault,
         };
         self.faults.push(fault);
-        self.put_in_force();
+        self.apply_faults();
         if let Fault::Kill(at) = fault {
             self.kill_proxy(at);
         }
@@ -61,17 +61,17 @@
     pub(crate) fn end_oldest(&mut self) {
         if !self.faults.is_empty() {
             self.faults.remove(0);
-            self.put_in_force();
+            self.apply_faults();
         }
     }
 
     pub(crate) fn end_all(&mut self) {
         self.faults.clear();
-        self.put_in_force();
+        self.apply_faults();
     }
 
     /// Makes the world as faulty as the list of faults says.
-    fn put_in_force(&mut self) {
+    fn apply_faults(&mut self) {
         let has = |fault| self.faults.contains(&fault);
         let up: Vec<_> = (0..SITES).map(|at| !has(Fault::Down(at))).collect();
         let frozen: Vec<_> = (0..SITES).map(|at| has(Fault::Freeze(at))).collect();
@@ -79,23 +79,28 @@
             (instance.up, instance.frozen) = (up[at], frozen[at]);
         }
         self.store.down = self.faults.contains(&Fault::StoreDown);
-        (self.store.lose, self.loss, self.jitter, self.copy) = (0, 0, 2, 8);
-        self.cuts.clear();
+        (
+            self.store.lose_replies,
+            self.loss,
+            self.jitter,
+            self.replication_limit,
+        ) = (0, 0, 2, 8);
+        self.partitions.clear();
         for fault in self.faults.clone() {
             match fault {
-                Fault::Isolate(site) => self.isolate(site),
-                Fault::Cut(a, b) => self.cut(a, b),
-                Fault::LoseAnswers(percent) => self.store.lose = percent,
+                Fault::IsolateSite(site) => self.isolate(site),
+                Fault::Partition(a, b) => self.partition(a, b),
+                Fault::LoseReplies(percent) => self.store.lose_replies = percent,
                 Fault::Loss(percent) => self.loss = percent,
                 Fault::Jitter(ms) => self.jitter = ms,
-                Fault::Copy(most) => self.copy = most,
+                Fault::ReplicationLimit(limit) => self.replication_limit = limit,
                 _ => {}
             }
         }
         for at in 0..SITES {
-            self.leave(at, self.faults.contains(&Fault::Leaving(at)));
+            self.set_leaving(at, self.faults.contains(&Fault::Leaving(at)));
         }
-        self.membership();
+        self.publish_membership();
         for at in 0..self.proxies.len() {
             let paused = self.faults.contains(&Fault::Pause(at));
             if self.proxies[at].paused && !paused {
--- a/crates/policy/tests/failover/fake/instance.rs
+++ b/crates/policy/tests/failover/fake/instance.rs
@@ -20,7 +20,7 @@
     pub(crate) log: Vec<Record>,
     pub(crate) applied: usize,
     pub(crate) follows: Option<usize>,
-    pub(crate) heard: Time,
+    pub(crate) last_contact: Time,
 }
 
 impl Instance {
@@ -40,11 +40,11 @@
             log: Vec::new(),
             applied: 0,
             follows: (!primary).then_some(0),
-            heard: Time::default(),
+            last_contact: Time::default(),
         }
     }
 
-    pub(crate) fn runs(&self) -> bool {
+    pub(crate) fn is_running(&self) -> bool {
         self.up && !self.frozen
     }
 
@@ -63,13 +63,13 @@
             contact_age: if primary {
                 Default::default()
             } else {
-                now.since(self.heard)
+                now.since(self.last_contact)
             },
         }
     }
 
     /// Carries out an order; waits answer at once, which is allowed.
-    pub(crate) fn take(&mut self, now: Time, command: &Command) -> Result<Status, Failure> {
+    pub(crate) fn handle(&mut self, now: Time, command: &Command) -> Result<Status, Failure> {
         match command {
             Command::Status | Command::Wait { .. } => {}
             Command::Fence(term) => self.fenced = self.fenced.max(*term),
@@ -85,7 +85,7 @@
                 self.term = *term;
                 self.role = Role::Replica;
                 self.follows = primary.as_str()[1..].parse().ok();
-                self.heard = now;
+                self.last_contact = now;
             }
             Command::Promote(_) | Command::Follow { .. } => return Err(Failure::Protocol),
         }
@@ -106,11 +106,11 @@
     }
 
     /// Takes up to `most` records from its primary, and drops what that one does not have.
-    pub(crate) fn copy(&mut self, now: Time, primary: &Self, most: usize) {
+    pub(crate) fn replicate_from(&mut self, now: Time, primary: &Self, limit: usize) {
         if primary.role != Role::Primary || primary.term != self.term {
             return;
         }
-        self.heard = now;
+        self.last_contact = now;
         if self.fenced > primary.term {
             return;
         }
@@ -118,7 +118,7 @@
         let shared = pairs.take_while(|(a, b)| a == b).count();
         self.log.truncate(shared);
         self.applied = self.applied.min(shared);
-        let more = primary.log[shared..].iter().take(most);
+        let more = primary.log[shared..].iter().take(limit);
         self.log.extend(more);
         let end = self.end();
         let starts = primary.history.starts().iter();
@@ -126,7 +126,7 @@
         self.history = History::new(reached).unwrap();
     }
 
-    pub(crate) fn apply(&mut self, most: usize) {
-        self.applied = self.log.len().min(self.applied + most);
+    pub(crate) fn apply(&mut self, limit: usize) {
+        self.applied = self.log.len().min(self.applied + limit);
     }
 }
--- a/crates/policy/tests/failover/fake/mod.rs
+++ b/crates/policy/tests/failover/fake/mod.rs
@@ -23,7 +23,7 @@
 use rand::rngs::SmallRng;
 use rand::{Rng as _, SeedableRng as _};
 
-use caller::{Exec, Executed, Marks};
+use caller::{Executed, Requirement, Statement};
 use fault::Fault;
 use instance::Instance;
 use oracle::Oracle;
@@ -43,22 +43,22 @@
 pub(crate) const SITES: usize = 3;
 
 /// Who a proxy process is: its place in the list and which start of it.
-pub(crate) type Who = (usize, u64);
+pub(crate) type ProxyProcess = (usize, u64);
 
 /// A message on its way.
 #[derive(Clone, Debug)]
 pub(crate) enum Message {
-    Command(Who, QueryId, usize, Command),
-    Response(Who, QueryId, Result<Status, Failure>),
-    StoreRequest(Who, QueryId, StoreRequest),
-    StoreReply(Who, QueryId, StoreReply),
+    Command(ProxyProcess, QueryId, usize, Command),
+    Response(ProxyProcess, QueryId, Result<Status, Failure>),
+    StoreRequest(ProxyProcess, QueryId, StoreRequest),
+    StoreReply(ProxyProcess, QueryId, StoreReply),
     Report(usize, PeerReport),
-    Exec(Exec),
+    Statement(Statement),
     Executed(Executed),
 }
 
 #[derive(Clone, Debug)]
-struct Flight {
+struct Envelope {
     due: Time,
     from: usize,
     to: usize,
@@ -77,14 +77,14 @@
     pub(crate) oracle: Oracle,
     pub(crate) faults: Vec<Fault>,
     /// Pairs of sites that do not reach each other.
-    pub(crate) cuts: BTreeSet<(usize, usize)>,
+    pub(crate) partitions: BTreeSet<(usize, usize)>,
     /// Percent of messages that are lost, and as many that are doubled.
     pub(crate) loss: u32,
     /// Most extra delay of a message, in milliseconds; it reorders them.
     pub(crate) jitter: u64,
     /// Records that a replica takes in one tick, at most; 0 stops replication.
-    pub(crate) copy: u64,
-    flights: Vec<Flight>,
+    pub(crate) replication_limit: u64,
+    in_flight: Vec<Envelope>,
 }
 
 pub(crate) fn instance_id(at: usize) -> InstanceId {
@@ -132,11 +132,11 @@
             store: Store::default(),
             oracle: Oracle::default(),
             faults: Vec::new(),
-            cuts: BTreeSet::new(),
+            partitions: BTreeSet::new(),
             loss: 0,
             jitter: 2,
-            copy: 8,
-            flights: Vec::new(),
+            replication_limit: 8,
+            in_flight: Vec::new(),
         };
         for at in 0..proxies {
             world.start_proxy(at);
@@ -168,22 +168,22 @@
                 0 | 1 => {
                     self.write(proxy, session);
                 }
-                2 => self.read(proxy, session, Marks::Token),
-                3 => self.read(proxy, session, Marks::Nothing),
-                _ => self.read(proxy, session, Marks::Age(500)),
+                2 => self.read(proxy, session, Requirement::Token),
+                3 => self.read(proxy, session, Requirement::Unstated),
+                _ => self.read(proxy, session, Requirement::MaxAge(500)),
             }
             self.run(20);
         }
     }
 
-    pub(crate) fn cut(&mut self, a: usize, b: usize) {
-        self.cuts.insert((a.min(b), a.max(b)));
+    pub(crate) fn partition(&mut self, a: usize, b: usize) {
+        self.partitions.insert((a.min(b), a.max(b)));
     }
 
     /// Cuts a data centre off from all others.
     pub(crate) fn isolate(&mut self, site: usize) {
         for other in (0..SITES).filter(|s| *s != site) {
-            self.cut(site, other);
+            self.partition(site, other);
         }
     }
 
@@ -196,8 +196,8 @@
             .map_or(0, |(at, _)| at)
     }
 
-    pub(crate) fn open(&self, a: usize, b: usize) -> bool {
-        !self.cuts.contains(&(a.min(b), a.max(b)))
+    pub(crate) fn connected(&self, a: usize, b: usize) -> bool {
+        !self.partitions.contains(&(a.min(b), a.max(b)))
     }
 
     pub(crate) fn send(&mut self, from: usize, to: usize, message: Message) {
@@ -214,7 +214,7 @@
         let far = (from == 2) != (to == 2);
         let base = if far { 20_000 } else { 1_000 };
         let extra = self.rng.random_range(0..=self.jitter * 1_000);
-        self.flights.push(Flight {
+        self.in_flight.push(Envelope {
             due: self.now + Span::from_micros(base + extra),
             from,
             to,
@@ -224,68 +224,68 @@
 
     fn deliver(&mut self) {
         let now = self.now;
-        let (mut due, later): (Vec<_>, Vec<_>) = std::mem::take(&mut self.flights)
+        let (mut due, later): (Vec<_>, Vec<_>) = std::mem::take(&mut self.in_flight)
             .into_iter()
             .partition(|f| f.due <= now);
-        self.flights = later;
+        self.in_flight = later;
         due.sort_by_key(|f| f.due);
-        for flight in due {
-            if self.open(flight.from, flight.to) && !self.shut_out(&flight) {
-                self.receive(flight);
+        for envelope in due {
+            if self.connected(envelope.from, envelope.to) && !self.is_blocked(&envelope) {
+                self.receive(envelope);
             }
         }
     }
 
     /// Whether a message is for an instance that only its own data centre reaches.
-    fn shut_out(&self, flight: &Flight) -> bool {
-        let at = match &flight.message {
+    fn is_blocked(&self, envelope: &Envelope) -> bool {
+        let at = match &envelope.message {
             Message::Command(_, _, at, _) => *at,
-            Message::Exec(exec) => exec.instance,
+            Message::Statement(statement) => statement.instance,
             _ => return false,
         };
-        flight.from != at && self.faults.contains(&Fault::Shut(at))
+        envelope.from != at && self.faults.contains(&Fault::IsolateInstance(at))
     }
 
-    fn receive(&mut self, flight: Flight) {
-        let held = match &flight.message {
+    fn receive(&mut self, envelope: Envelope) {
+        let frozen = match &envelope.message {
             Message::Command(_, _, at, _) => self.instances[*at].frozen,
-            Message::Exec(exec) => self.instances[exec.instance].frozen,
+            Message::Statement(statement) => self.instances[statement.instance].frozen,
             _ => false,
         };
-        if held {
+        if frozen {
             // A frozen process answers once it goes on.
-            self.flights.push(flight);
+            self.in_flight.push(envelope);
             return;
         }
-        match flight.message {
-            Message::Command(who, query, at, command) => self.run_command(who, query, at, &command),
-            Message::Response(who, query, result) => self.respond(who, query, result),
-            Message::StoreRequest(who, query, request) => self.query_store(who, query, request),
-            Message::StoreReply(who, query, reply) => self.store_replied(who, query, reply),
+        match envelope.message {
+            Message::Command(proxy, id, at, command) => self.run_command(proxy, id, at, &command),
+            Message::Response(proxy, query, result) => self.respond(proxy, query, result),
+            Message::StoreRequest(proxy, query, request) => self.query_store(proxy, query, request),
+            Message::StoreReply(proxy, query, reply) => self.store_replied(proxy, query, reply),
             Message::Report(at, report) => self.report_received(at, report),
-            Message::Exec(exec) => self.execute(exec),
-            Message::Executed(done) => self.executed(done),
+            Message::Statement(statement) => self.execute(statement),
+            Message::Executed(executed) => self.executed(executed),
         }
     }
 
-    fn run_command(&mut self, who: Who, query: QueryId, at: usize, command: &Command) {
+    fn run_command(&mut self, proxy: ProxyProcess, query: QueryId, at: usize, command: &Command) {
         let now = self.now;
-        let home = self.proxies[who.0].site;
+        let home = self.proxies[proxy.0].site;
         if !self.instances[at].up {
             return self.send(
                 at,
                 home,
-                Message::Response(who, query, Err(Failure::Refused)),
+                Message::Response(proxy, query, Err(Failure::Refused)),
             );
         }
-        let result = self.instances[at].take(now, command);
-        self.send(at, home, Message::Response(who, query, result));
+        let result = self.instances[at].handle(now, command);
+        self.send(at, home, Message::Response(proxy, query, result));
     }
 
-    fn query_store(&mut self, who: Who, query: QueryId, request: StoreRequest) {
-        let home = self.proxies[who.0].site;
-        if let Some(reply) = self.store.take(request, &mut self.rng) {
-            self.send(STORE_SITE, home, Message::StoreReply(who, query, reply));
+    fn query_store(&mut self, proxy: ProxyProcess, query: QueryId, request: StoreRequest) {
+        let home = self.proxies[proxy.0].site;
+        if let Some(reply) = self.store.handle(request, &mut self.rng) {
+            self.send(STORE_SITE, home, Message::StoreReply(proxy, query, reply));
         }
     }
 
@@ -294,14 +294,16 @@
             let Some(primary) = self.instances[at].follows else {
                 continue;
             };
-            let both = [at, primary].iter().all(|i| self.instances[*i].runs());
-            let most = self.rng.random_range(0..=self.copy) as usize;
-            let shut = |at| self.faults.contains(&Fault::Shut(at));
-            if both && self.open(at, primary) && !shut(at) && !shut(primary) {
+            let both = [at, primary]
+                .iter()
+                .all(|i| self.instances[*i].is_running());
+            let limit = self.rng.random_range(0..=self.replication_limit) as usize;
+            let isolated = |at| self.faults.contains(&Fault::IsolateInstance(at));
+            if both && self.connected(at, primary) && !isolated(at) && !isolated(primary) {
                 let source = self.instances[primary].clone();
-                self.instances[at].copy(self.now, &source, most);
+                self.instances[at].replicate_from(self.now, &source, limit);
             }
-            self.instances[at].apply(self.rng.random_range(0..=self.copy) as usize);
+            self.instances[at].apply(self.rng.random_range(0..=self.replication_limit) as usize);
         }
     }
 }
--- a/crates/policy/tests/failover/fake/oracle.rs
+++ b/crates/policy/tests/failover/fake/oracle.rs
@@ -31,17 +31,17 @@
 
 /// What one request must be able to rely on, noted when it began.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Begun {
+pub(crate) struct Expectations {
     /// Newest term that had acknowledged a write.
     pub(crate) newest: Term,
     /// Writes that a read must show.
-    pub(crate) shows: Vec<u64>,
+    pub(crate) must_show: Vec<u64>,
 }
 
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Oracle {
     /// Acknowledged writes with the time of the acknowledgement in microseconds.
-    pub(crate) acked: Vec<(u64, u64)>,
+    pub(crate) acknowledged: Vec<(u64, u64)>,
     newest: Term,
     primaries: BTreeMap<Term, usize>,
     pub(crate) violations: Vec<Violation>,
@@ -51,24 +51,31 @@
 }
 
 impl Oracle {
-    pub(crate) fn begin(&self) -> Begun {
-        Begun {
+    pub(crate) fn expectations(&self) -> Expectations {
+        Expectations {
             newest: self.newest,
-            shows: Vec::new(),
+            must_show: Vec::new(),
         }
     }
 
     /// Writes acknowledged up to a moment.
     pub(crate) fn acked_until(&self, at: u64) -> Vec<u64> {
-        let early = self.acked.iter().filter(|(_, t)| *t <= at);
+        let early = self.acknowledged.iter().filter(|(_, t)| *t <= at);
         early.map(|(write, _)| *write).collect()
     }
 
-    pub(crate) fn ack(&mut self, write: u64, point: Point, by: usize, begun: &Begun, at: u64) {
+    pub(crate) fn record_ack(
+        &mut self,
+        write: u64,
+        point: Point,
+        by: usize,
+        expectations: &Expectations,
+        at: u64,
+    ) {
         let term = point.term;
-        self.acked.push((write, at));
-        if term < begun.newest {
-            let newest = begun.newest;
+        self.acknowledged.push((write, at));
+        if term < expectations.newest {
+            let newest = expectations.newest;
             self.violations.push(Violation::Replaced {
                 write,
                 term,
@@ -81,23 +88,26 @@
         self.newest = self.newest.max(term);
     }
 
-    pub(crate) fn read(&mut self, shown: &[u64], begun: &Begun) {
+    pub(crate) fn check_read(&mut self, shown: &[u64], expectations: &Expectations) {
         self.reads += 1;
-        let missing = begun.shows.iter().find(|w| !shown.contains(w));
+        let missing = expectations.must_show.iter().find(|w| !shown.contains(w));
         if let Some(missing) = missing {
             let missing = *missing;
             self.violations.push(Violation::Stale { missing });
         }
     }
 
-    pub(crate) fn finish(&mut self, log: &[u64]) {
+    pub(crate) fn check_log(&mut self, log: &[u64]) {
         let mut counts = BTreeMap::<u64, usize>::new();
         for write in log {
             *counts.entry(*write).or_default() += 1;
         }
         let doubled = counts.iter().filter(|(_, n)| **n > 1);
         let doubled = doubled.map(|(w, _)| Violation::Doubled(*w));
-        let lost = self.acked.iter().filter(|(w, _)| !counts.contains_key(w));
+        let lost = self
+            .acknowledged
+            .iter()
+            .filter(|(w, _)| !counts.contains_key(w));
         let lost = lost.map(|(w, _)| Violation::Lost(*w));
         let found: Vec<_> = doubled.chain(lost).collect();
         self.violations.extend(found);
@@ -109,16 +119,16 @@
     pub(crate) fn settle(&mut self) {
         self.end_all();
         self.run(6_000);
-        let before = self.oracle.acked.len();
+        let before = self.oracle.acknowledged.len();
         for proxy in 0..self.proxies.len() {
             self.write(proxy, 0);
         }
         self.run(3_000);
-        if self.oracle.acked.len() < before + self.proxies.len() {
+        if self.oracle.acknowledged.len() < before + self.proxies.len() {
             self.oracle.violations.push(Violation::Stuck);
         }
         let newest = self.instances.iter().max_by_key(|i| i.term).unwrap();
         let log: Vec<_> = newest.log.iter().map(|(_, w)| *w).collect();
-        self.oracle.finish(&log);
+        self.oracle.check_log(&log);
     }
 }
--- a/crates/policy/tests/failover/fake/proxy.rs
+++ b/crates/policy/tests/failover/fake/proxy.rs
@@ -12,7 +12,7 @@
 use rand::Rng as _;
 
 use super::fault::Fault;
-use super::{Message, SITES, STORE_SITE, Who, World};
+use super::{Message, ProxyProcess, SITES, STORE_SITE, World};
 
 pub(crate) struct Proxy {
     pub(crate) site: usize,
@@ -51,11 +51,11 @@
             self.proxies.push(proxy);
         }
         self.input(at, Input::Configure(self.fleet.clone()));
-        self.membership();
+        self.publish_membership();
     }
 
     /// Declares whether an instance is leaving, in force on every proxy.
-    pub(crate) fn leave(&mut self, instance: usize, leaving: bool) {
+    pub(crate) fn set_leaving(&mut self, instance: usize, leaving: bool) {
         let declared = &self.fleet.groups[&self.group].instances[instance];
         if declared.leaving == leaving {
             return;
@@ -70,7 +70,7 @@
 
     pub(crate) fn kill_proxy(&mut self, at: usize) {
         self.proxies[at].alive = false;
-        self.membership();
+        self.publish_membership();
     }
 
     pub(crate) fn resume_proxy(&mut self, at: usize) {
@@ -85,7 +85,7 @@
         self.fleet.location(&centre).unwrap()
     }
 
-    pub(crate) fn membership(&mut self) {
+    pub(crate) fn publish_membership(&mut self) {
         let live = self.proxies.iter().filter(|p| p.alive);
         let live: Vec<_> = live
             .map(|p| Peer {
@@ -94,8 +94,8 @@
             })
             .collect();
         for at in 0..self.proxies.len() {
-            let alone = self.faults.contains(&Fault::Alone(at));
-            let known = if alone { Vec::new() } else { live.clone() };
+            let no_peers = self.faults.contains(&Fault::SeesNoPeers(at));
+            let known = if no_peers { Vec::new() } else { live.clone() };
             self.input(at, Input::Peers(known));
         }
     }
@@ -115,7 +115,7 @@
             return;
         }
         for output in proxy.node.step(self.now, input) {
-            self.act(at, output.action);
+            self.perform(at, output.action);
         }
     }
 
@@ -127,9 +127,9 @@
         }
     }
 
-    fn act(&mut self, at: usize, action: Action) {
+    fn perform(&mut self, at: usize, action: Action) {
         let site = self.proxies[at].site;
-        let who = (at, self.proxies[at].start);
+        let proxy = (at, self.proxies[at].start);
         match action {
             Action::Command {
                 query,
@@ -138,14 +138,18 @@
                 ..
             } => {
                 let to = instance.as_str()[1..].parse().unwrap();
-                self.send(site, to, Message::Command(who, query, to, command));
+                self.send(site, to, Message::Command(proxy, query, to, command));
             }
             Action::Store { query, request } => {
-                self.send(site, STORE_SITE, Message::StoreRequest(who, query, request));
+                self.send(
+                    site,
+                    STORE_SITE,
+                    Message::StoreRequest(proxy, query, request),
+                );
             }
             Action::Send { to, report } => self.send_report(at, &to, &report),
-            Action::Routed { request, result } => self.routed(who, request, result),
-            Action::Confirmed { request, result } => self.confirmed(who, request, result),
+            Action::Routed { request, result } => self.routed(proxy, request, result),
+            Action::Confirmed { request, result } => self.confirmed(proxy, request, result),
             Action::Decided(decision) => self.proxies[at].decisions.push(decision),
         }
     }
@@ -167,19 +171,24 @@
         self.event(at, Event::PeerReport(report));
     }
 
-    fn current(&self, who: Who) -> bool {
-        self.proxies[who.0].start == who.1
+    fn is_current(&self, proxy: ProxyProcess) -> bool {
+        self.proxies[proxy.0].start == proxy.1
     }
 
-    pub(crate) fn respond(&mut self, who: Who, query: QueryId, result: Result<Status, Failure>) {
-        if self.current(who) {
-            self.event(who.0, Event::Response { query, result });
+    pub(crate) fn respond(
+        &mut self,
+        proxy: ProxyProcess,
+        query: QueryId,
+        result: Result<Status, Failure>,
+    ) {
+        if self.is_current(proxy) {
+            self.event(proxy.0, Event::Response { query, result });
         }
     }
 
-    pub(crate) fn store_replied(&mut self, who: Who, query: QueryId, reply: StoreReply) {
-        if self.current(who) {
-            self.event(who.0, Event::Store { query, reply });
+    pub(crate) fn store_replied(&mut self, proxy: ProxyProcess, query: QueryId, reply: StoreReply) {
+        if self.is_current(proxy) {
+            self.event(proxy.0, Event::Store { query, reply });
         }
     }
 }
--- a/crates/policy/tests/failover/fake/store.rs
+++ b/crates/policy/tests/failover/fake/store.rs
@@ -11,13 +11,17 @@
     /// No request takes effect, and none is answered.
     pub(crate) down: bool,
     /// Percent of requests that take effect and whose answer is lost.
-    pub(crate) lose: u32,
+    pub(crate) lose_replies: u32,
     /// Claims that succeeded; a term may appear once.
     pub(crate) claims: Vec<u64>,
 }
 
 impl Store {
-    pub(crate) fn take(&mut self, request: StoreRequest, rng: &mut SmallRng) -> Option<StoreReply> {
+    pub(crate) fn handle(
+        &mut self,
+        request: StoreRequest,
+        rng: &mut SmallRng,
+    ) -> Option<StoreReply> {
         if self.down {
             return None;
         }
@@ -33,7 +37,7 @@
             }
             StoreRequest::Read | StoreRequest::Swap { .. } => StoreReply::Found(self.held.clone()),
         };
-        let lost = rng.random_range(0..100) < self.lose;
+        let lost = rng.random_range(0..100) < self.lose_replies;
         Some(if lost { StoreReply::Unknown } else { reply })
     }
 }
--- a/crates/policy/tests/failover/model.rs
+++ b/crates/policy/tests/failover/model.rs
@@ -8,7 +8,7 @@
 use proptest::test_runner::{Config, RngSeed};
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest, prop_state_machine};
 
-use crate::fake::caller::Marks;
+use crate::fake::caller::Requirement;
 use crate::fake::fault::Fault;
 use crate::fake::{self, World};
 
@@ -25,18 +25,18 @@
     Traffic(u64),
     /// One request by itself.
     Write(usize, usize),
-    Read(usize, usize, Marks),
+    Read(usize, usize, Requirement),
     /// A fault begins.
     Begin(Fault),
     /// The oldest fault ends.
     End,
 }
 
-fn marks() -> impl Strategy<Value = Marks> {
+fn requirement() -> impl Strategy<Value = Requirement> {
     prop_oneof![
-        Just(Marks::Token),
-        Just(Marks::Nothing),
-        prop_oneof![Just(50), Just(500), Just(3_000)].prop_map(Marks::Age),
+        Just(Requirement::Token),
+        Just(Requirement::Unstated),
+        prop_oneof![Just(50), Just(500), Just(3_000)].prop_map(Requirement::MaxAge),
     ]
 }
 
@@ -46,29 +46,29 @@
         3 => prop_oneof![
             Just(Fault::DownLeader),
             Just(Fault::FreezeLeader),
-            Just(Fault::IsolateLeader),
-            Just(Fault::ShutLeader),
+            Just(Fault::IsolateLeaderSite),
+            Just(Fault::IsolateLeaderInstance),
         ],
         2 => prop_oneof![
             site.clone().prop_map(Fault::Down),
             site.clone().prop_map(Fault::Freeze),
-            site.clone().prop_map(Fault::Isolate),
-            (0..2_usize, 1..3_usize).prop_map(|(a, d)| Fault::Cut(a, (a + d).min(2))),
+            site.clone().prop_map(Fault::IsolateSite),
+            (0..2_usize, 1..3_usize).prop_map(|(a, d)| Fault::Partition(a, (a + d).min(2))),
         ],
         2 => prop_oneof![
             (0..PROXIES).prop_map(Fault::Pause),
             (0..PROXIES).prop_map(Fault::Kill),
-            (0..PROXIES).prop_map(Fault::Alone),
+            (0..PROXIES).prop_map(Fault::SeesNoPeers),
         ],
         1 => site.prop_map(Fault::Leaving),
         2 => prop_oneof![
             Just(Fault::StoreDown),
-            (10..100_u32).prop_map(Fault::LoseAnswers),
+            (10..100_u32).prop_map(Fault::LoseReplies),
         ],
         2 => prop_oneof![
             (5..30_u32).prop_map(Fault::Loss),
             (10..150_u64).prop_map(Fault::Jitter),
-            (0..2_u64).prop_map(Fault::Copy),
+            (0..2_u64).prop_map(Fault::ReplicationLimit),
         ],
     ]
 }
@@ -82,7 +82,7 @@
     prop_oneof![
         4 => prop_oneof![2..60_u64, 100..700_u64, 700..2_000_u64].prop_map(Op::Traffic),
         2 => (proxy.clone(), session.clone()).prop_map(|(p, s)| Op::Write(p, s)),
-        2 => (proxy, session, marks()).prop_map(|(p, s, m)| Op::Read(p, s, m)),
+        2 => (proxy, session, requirement()).prop_map(|(p, s, m)| Op::Read(p, s, m)),
         begin => fault().prop_map(Op::Begin),
         end => Just(Op::End),
     ]
@@ -142,7 +142,7 @@
             Op::Write(proxy, session) => {
                 world.write(proxy, session);
             }
-            Op::Read(proxy, session, marks) => world.read(proxy, session, marks),
+            Op::Read(proxy, session, requirement) => world.read(proxy, session, requirement),
             Op::Begin(fault) => world.begin(fault),
             Op::End => world.end_oldest(),
         }
--- a/crates/policy/tests/failover/scenarios.rs
+++ b/crates/policy/tests/failover/scenarios.rs
@@ -8,7 +8,7 @@
 use test_case::test_case;
 
 use crate::fake::World;
-use crate::fake::caller::Marks;
+use crate::fake::caller::Requirement;
 use crate::fake::fault::Fault;
 use crate::fake::oracle::Violation;
 
@@ -59,12 +59,12 @@
 #[test]
 fn a_dead_primary_is_replaced_while_writes_wait() {
     let mut world = world(1);
-    let acked = world.oracle.acked.len();
+    let acked = world.oracle.acknowledged.len();
     world.begin(Fault::FreezeLeader);
     world.run(150);
     world.write(1, 0);
     world.run(900);
-    assert_eq!(world.oracle.acked.len(), acked + 1);
+    assert_eq!(world.oracle.acknowledged.len(), acked + 1);
     assert!(newest(&world) > Term(1));
     let phases = world.proxies.iter().flat_map(|p| &p.decisions);
     let mut phases: Vec<_> = phases.filter_map(|d| Some(d.phase?.0)).collect();
@@ -86,8 +86,8 @@
 // goes silent, or one data centre is cut off from it; replacing it would interrupt every
 // writer for longer than the fault does.
 #[test_case(Fault::FreezeLeader, 300; "a stall of 300 ms")]
-#[test_case(Fault::Cut(0, 2), 5_000; "one data centre does not reach the primary")]
-#[test_case(Fault::Isolate(1), 5_000; "a replica's data centre is cut off")]
+#[test_case(Fault::Partition(0, 2), 5_000; "one data centre does not reach the primary")]
+#[test_case(Fault::IsolateSite(1), 5_000; "a replica's data centre is cut off")]
 #[test_case(Fault::Loss(10), 5_000; "a tenth of all messages is lost")]
 #[test_case(Fault::StoreDown, 5_000; "the store is down")]
 fn a_live_primary_stays(fault: Fault, ms: u64) {
@@ -120,7 +120,7 @@
     world.begin(Fault::Leaving(0));
     world.traffic(1_500);
     assert_ne!(world.leader(), 0);
-    let refused = world.oracle.callers.told.refused;
+    let refused = world.oracle.callers.outcomes.rejected;
     assert_eq!(refused, 0);
     finish(&mut world);
 }
@@ -130,7 +130,7 @@
 #[test]
 fn writes_go_through_a_peer_that_reaches_the_primary() {
     let mut world = world(3);
-    world.begin(Fault::Cut(0, 2));
+    world.begin(Fault::Partition(0, 2));
     world.run(1_500);
     assert!(decided(&world, |w| matches!(w, What::Forward(_))) > 0);
     assert_eq!(newest(&world), Term(1));
@@ -144,14 +144,14 @@
 #[test]
 fn an_isolated_primary_acknowledges_nothing_and_then_follows() {
     let mut world = world(4);
-    world.begin(Fault::IsolateLeader);
-    let acked = world.oracle.acked.len();
+    world.begin(Fault::IsolateLeaderSite);
+    let acked = world.oracle.acknowledged.len();
     world.write(0, 0);
     world.run(1_500);
-    assert_eq!(world.oracle.acked.len(), acked);
+    assert_eq!(world.oracle.acknowledged.len(), acked);
     world.write(1, 1);
     world.run(300);
-    assert_eq!(world.oracle.acked.len(), acked + 1);
+    assert_eq!(world.oracle.acknowledged.len(), acked + 1);
     world.end_all();
     world.run(4_000);
     assert!(decided(&world, |w| matches!(w, What::Diverged { .. })) > 0);
@@ -166,14 +166,14 @@
 #[test]
 fn a_primary_that_only_its_own_proxies_reach_is_replaced() {
     let mut world = world(15);
-    world.begin(Fault::ShutLeader);
+    world.begin(Fault::IsolateLeaderInstance);
     world.write(0, 0);
     world.run(800);
     assert!(newest(&world) > Term(1));
-    let acked = world.oracle.acked.len();
+    let acked = world.oracle.acknowledged.len();
     world.write(0, 1);
     world.run(300);
-    assert_eq!(world.oracle.acked.len(), acked + 1);
+    assert_eq!(world.oracle.acknowledged.len(), acked + 1);
     finish(&mut world);
 }
 
@@ -195,10 +195,10 @@
     world.begin(fault(at));
     world.run(2_500);
     let other = (at + 1) % 3;
-    let acked = world.oracle.acked.len();
+    let acked = world.oracle.acknowledged.len();
     world.write(other, 2);
     world.run(1_000);
-    assert_eq!(world.oracle.acked.len(), acked + 1);
+    assert_eq!(world.oracle.acknowledged.len(), acked + 1);
     world.end_all();
     world.traffic(1_000);
     finish(&mut world);
@@ -210,7 +210,7 @@
 fn two_coordinators_promote_one_primary() {
     let mut world = world(6);
     for at in 0..3 {
-        world.begin(Fault::Alone(at));
+        world.begin(Fault::SeesNoPeers(at));
     }
     world.begin(Fault::FreezeLeader);
     world.run(3_000);
@@ -224,7 +224,7 @@
 #[test_case(90; "nearly all answers")]
 fn lost_answers_of_the_store_are_read_back(percent: u32) {
     let mut world = world(7);
-    world.begin(Fault::LoseAnswers(percent));
+    world.begin(Fault::LoseReplies(percent));
     world.begin(Fault::FreezeLeader);
     world.run(8_000);
     assert!(newest(&world) > Term(1));
@@ -241,10 +241,10 @@
     world.begin(Fault::StoreDown);
     world.begin(Fault::FreezeLeader);
     world.run(2_000);
-    let refused = world.oracle.callers.told.refused;
+    let refused = world.oracle.callers.outcomes.rejected;
     world.write(1, 0);
     world.run(3_500);
-    assert_eq!(world.oracle.callers.told.refused, refused + 1);
+    assert_eq!(world.oracle.callers.outcomes.rejected, refused + 1);
     assert_eq!(newest(&world), Term(1));
     world.end_oldest();
     world.run(1_500);
@@ -262,11 +262,14 @@
     until(&mut world, |s| matches!(s, Step::Fencing));
     world.begin(Fault::Freeze(1));
     world.run(3_000);
-    let (refused, acked) = (world.oracle.callers.told.refused, world.oracle.acked.len());
+    let (refused, acked) = (
+        world.oracle.callers.outcomes.rejected,
+        world.oracle.acknowledged.len(),
+    );
     world.write(2, 0);
     world.run(10);
-    assert_eq!(world.oracle.callers.told.refused, refused + 1);
-    assert_eq!(world.oracle.acked.len(), acked);
+    assert_eq!(world.oracle.callers.outcomes.rejected, refused + 1);
+    assert_eq!(world.oracle.acknowledged.len(), acked);
     world.end_oldest();
     world.run(3_000);
     finish(&mut world);
@@ -277,7 +280,7 @@
 #[test]
 fn far_behind_replicas_lose_nothing_acknowledged() {
     let mut world = world(10);
-    world.begin(Fault::Copy(1));
+    world.begin(Fault::ReplicationLimit(1));
     world.traffic(1_000);
     world.begin(Fault::DownLeader);
     world.run(2_000);
@@ -286,19 +289,19 @@
 
 // A clerk writes through one proxy and reads through another that has not heard of the
 // change of primary yet. The read shows the write, or waits, with and without the token.
-#[test_case(Marks::Token; "with the token")]
-#[test_case(Marks::Nothing; "without the token")]
-fn a_roaming_session_reads_its_writes_across_a_promotion(marks: Marks) {
+#[test_case(Requirement::Token; "with the token")]
+#[test_case(Requirement::Unstated; "without the token")]
+fn a_roaming_session_reads_its_writes_across_a_promotion(requirement: Requirement) {
     let mut world = world(11);
-    world.begin(Fault::IsolateLeader);
+    world.begin(Fault::IsolateLeaderSite);
     world.run(1_500);
     world.write(1, 0);
     world.run(200);
-    world.read(0, 0, marks);
-    world.read(2, 0, marks);
+    world.read(0, 0, requirement);
+    world.read(2, 0, requirement);
     world.run(200);
     world.end_all();
-    world.read(0, 0, marks);
+    world.read(0, 0, requirement);
     world.run(2_000);
     assert!(world.oracle.reads > 0);
     finish(&mut world);
@@ -309,7 +312,7 @@
 #[test]
 fn the_oracle_notices_writes_acknowledged_too_early() {
     let mut world = World::new(12, 3, Acknowledge::Primary);
-    world.begin(Fault::Copy(0));
+    world.begin(Fault::ReplicationLimit(0));
     world.traffic(500);
     world.begin(Fault::DownLeader);
     world.run(2_000);
