--- a/crates/policy/tests/failover/fake/caller.rs
+++ b/crates/policy/tests/failover/fake/caller.rs
@@ -1,4 +1,4 @@
-//! Callers: sessions that write and read through any proxy.
+//! Callers: sessions that write and read through any of the proxies.
 
 use model::position::Point;
 use model::unit::{Span, Time};
@@ -9,21 +9,22 @@
 use super::oracle::{Expectations, Violation};
 use super::{Message, ProxyProcess, World};
 
-/// Time that a caller gives a request.
+/// Time from a request to its deadline.
 const REQUEST_TIMEOUT: Span = Span::from_millis(5_000);
 
-/// How a read states what it must see.
+/// What a read states about the data that it must see.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Requirement {
-    /// With the session's token.
+    /// The session's token.
     Token,
-    /// Without anything: the session must see its writes all the same.
+    /// Nothing: the read must then see all writes acknowledged before it, the session's own
+    /// included.
     Unstated,
-    /// With an accepted age in milliseconds, and the token.
+    /// The accepted age in milliseconds, and the token.
     MaxAge(u64),
 }
 
-/// A request of a caller that has no final answer.
+/// A request of a caller without an outcome yet.
 #[derive(Clone, Debug)]
 pub(crate) struct PendingRequest {
     pub(crate) request: RequestId,
@@ -34,7 +35,7 @@
     pub(crate) point: Point,
 }
 
-/// A statement on its way to an instance.
+/// A statement in transit to an instance.
 #[derive(Clone, Debug)]
 pub(crate) struct Statement {
     pub(crate) proxy: ProxyProcess,
@@ -43,7 +44,7 @@
     pub(crate) write: Option<u64>,
 }
 
-/// Its result on the way back.
+/// The result of a statement in transit to the proxy.
 #[derive(Clone, Debug)]
 pub(crate) struct Executed {
     pub(crate) statement: Statement,
@@ -51,14 +52,14 @@
     pub(crate) shown: Vec<u64>,
 }
 
-/// A session with its token.
+/// A session with its token and its acknowledged writes.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Session {
     pub(crate) token: Point,
     pub(crate) writes: Vec<u64>,
 }
 
-/// Counts of final answers.
+/// Number of requests by outcome.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Outcomes {
     pub(crate) acknowledged: usize,
@@ -88,7 +89,7 @@
         &mut sessions[at]
     }
 
-    /// Sends a write of the session through a proxy; its number names it.
+    /// Sends a write of the session through a proxy and returns the number of the write.
     pub(crate) fn write(&mut self, proxy: usize, session: usize) -> u64 {
         let request = self.request_id();
         let token = self.session(session).token;
@@ -199,7 +200,8 @@
         self.send_once(home, instance, Message::Statement(statement));
     }
 
-    /// Statements travel on a connection: they may be lost, but not doubled.
+    /// Sends a statement or its result. It may be lost, but is never duplicated, as it is sent
+    /// on a connection.
     fn send_once(&mut self, from: usize, to: usize, message: Message) {
         let loss = std::mem::take(&mut self.loss);
         self.send(from, to, message);
--- a/crates/policy/tests/failover/fake/fault.rs
+++ b/crates/policy/tests/failover/fake/fault.rs
@@ -1,47 +1,48 @@
-//! Faults that begin and end.
+//! Injection of faults.
 
 use super::{SITES, World};
 
-/// A fault as it is asked for.
+/// A fault to inject.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Fault {
-    /// The process of an instance is gone; its log is kept.
+    /// The process of an instance is down; its log is kept.
     Down(usize),
-    /// An instance does nothing, and goes on later where it stopped.
+    /// The process of an instance is paused, and continues when the fault ends.
     Freeze(usize),
-    /// A data centre reaches no other.
+    /// A data centre is partitioned from all others.
     IsolateSite(usize),
-    /// An instance reaches nobody but the proxies of its own data centre.
+    /// An instance reaches only the proxies of its own data centre.
     IsolateInstance(usize),
-    /// Two data centres do not reach each other.
+    /// Two data centres are partitioned from each other.
     Partition(usize, usize),
-    /// The same for whichever instance leads when the fault begins.
+    /// The same faults for the instance that leads when the fault begins.
     DownLeader,
     FreezeLeader,
     IsolateLeaderSite,
     IsolateLeaderInstance,
-    /// A proxy does nothing, and then takes in at once all that came meanwhile.
+    /// A proxy is paused, and processes all queued input when the fault ends.
     Pause(usize),
-    /// A proxy is gone, and a new one takes its place in the end.
+    /// A proxy is killed, and a new one replaces it when the fault ends.
     Kill(usize),
-    /// A proxy takes itself for the only one, and so coordinates whatever others do.
+    /// The membership shows a proxy no other live proxy, so that it has the first rank and
+    /// coordinates whatever the others do.
     SeesNoPeers(usize),
     /// An instance is declared to be leaving.
     Leaving(usize),
-    /// The store takes no request.
+    /// The store processes no request.
     StoreDown,
-    /// Percent of the store's answers that are lost after taking effect.
+    /// Percentage of requests to the store that take effect but whose reply is lost.
     LoseReplies(u32),
-    /// Percent of messages that are lost, and doubled.
+    /// Percentage of messages that are lost, and of messages that are duplicated.
     Loss(u32),
-    /// Milliseconds by which messages are delayed and reordered.
+    /// Largest extra delay of a message in milliseconds; it reorders messages.
     Jitter(u64),
-    /// Records that a replica takes in a tick, at most.
+    /// Largest number of records that a replica receives in one tick.
     ReplicationLimit(u64),
 }
 
 impl World {
-    /// Begins a fault. One that meets the leader stays with that instance.
+    /// Begins a fault. A fault of the leader stays on that instance after a change of primary.
     pub(crate) fn begin(&mut self, fault: Fault) {
         let leader = self.leader();
         let fault = match fault {
@@ -70,7 +71,7 @@
         self.apply_faults();
     }
 
-    /// Makes the world as faulty as the list of faults says.
+    /// Brings the world into the state that the active faults describe.
     fn apply_faults(&mut self) {
         let has = |fault| self.faults.contains(&fault);
         let up: Vec<_> = (0..SITES).map(|at| !has(Fault::Down(at))).collect();
--- a/crates/policy/tests/failover/fake/instance.rs
+++ b/crates/policy/tests/failover/fake/instance.rs
@@ -1,4 +1,4 @@
-//! A backend server that keeps a log and obeys replication orders.
+//! A backend server with a log that carries out replication commands.
 
 use model::position::{History, Point, Position, Term};
 use model::unit::Time;
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Carries out an order; waits answer at once, which is allowed.
+    /// Carries out a command. A wait returns at once, which the protocol allows.
     pub(crate) fn handle(&mut self, now: Time, command: &Command) -> Result<Status, Failure> {
         match command {
             Command::Status | Command::Wait { .. } => {}
@@ -92,7 +92,7 @@
         Ok(self.status(now))
     }
 
-    /// Commits a write, if it may.
+    /// Commits a write, if the instance is a primary without a later promise.
     pub(crate) fn write(&mut self, write: u64) -> Option<Point> {
         if self.role != Role::Primary || self.fenced > self.term {
             return None;
@@ -105,7 +105,7 @@
         })
     }
 
-    /// Takes up to `most` records from its primary, and drops what that one does not have.
+    /// Copies up to `limit` records from its primary, and drops those that the primary lacks.
     pub(crate) fn replicate_from(&mut self, now: Time, primary: &Self, limit: usize) {
         if primary.role != Role::Primary || primary.term != self.term {
             return;
--- a/crates/policy/tests/failover/fake/mod.rs
+++ b/crates/policy/tests/failover/fake/mod.rs
@@ -1,7 +1,8 @@
-//! Small fakes of a database group, the store and the network, around real controllers.
+//! Small fakes of a database group, the store and the network for the real controllers.
 //!
-//! One step of [`World`] moves time by [`TICK`], delivers what is due and ticks every
-//! proxy. Everything random comes from one seed.
+//! One step of [`World`] advances the time by [`TICK`], delivers the messages that are due
+//! and replicates; proxies are ticked every [`PROXY_TICK`]. All randomness comes from one
+//! seed.
 
 pub(crate) mod caller;
 pub(crate) mod fault;
@@ -30,22 +31,22 @@
 use proxy::Proxy;
 use store::Store;
 
-/// Time of one step of the world.
+/// Duration of one step of the world.
 pub(crate) const TICK: Span = Span::from_millis(2);
 
 /// Interval at which a proxy's controllers are stepped without an event.
 const PROXY_TICK: Span = Span::from_millis(10);
 
-/// Data centre of the store; the first primary is in another.
+/// Data centre of the store; the first primary runs in another one.
 pub(crate) const STORE_SITE: usize = 1;
 
-/// Data centres; the first two share a region.
+/// Number of data centres; the first two are in one region.
 pub(crate) const SITES: usize = 3;
 
-/// Who a proxy process is: its place in the list and which start of it.
+/// A proxy process: its index in the list, and how often it was restarted.
 pub(crate) type ProxyProcess = (usize, u64);
 
-/// A message on its way.
+/// A message between processes.
 #[derive(Clone, Debug)]
 pub(crate) enum Message {
     Command(ProxyProcess, QueryId, usize, Command),
@@ -65,7 +66,7 @@
     message: Message,
 }
 
-/// The whole of it.
+/// The simulated system.
 pub(crate) struct World {
     pub(crate) now: Time,
     pub(crate) rng: SmallRng,
@@ -76,13 +77,13 @@
     pub(crate) store: Store,
     pub(crate) oracle: Oracle,
     pub(crate) faults: Vec<Fault>,
-    /// Pairs of sites that do not reach each other.
+    /// Pairs of sites that are partitioned from each other.
     pub(crate) partitions: BTreeSet<(usize, usize)>,
-    /// Percent of messages that are lost, and as many that are doubled.
+    /// Percentage of messages that are lost, and as many that are duplicated.
     pub(crate) loss: u32,
-    /// Most extra delay of a message, in milliseconds; it reorders them.
+    /// Largest extra delay of a message in milliseconds; it reorders messages.
     pub(crate) jitter: u64,
-    /// Records that a replica takes in one tick, at most; 0 stops replication.
+    /// Largest number of records that a replica receives in one tick; 0 stops replication.
     pub(crate) replication_limit: u64,
     in_flight: Vec<Envelope>,
 }
@@ -120,7 +121,7 @@
 }
 
 impl World {
-    /// A healthy fleet of `proxies` proxies, after it has settled.
+    /// Creates a healthy fleet of `proxies` proxies and runs it until it is stable.
     pub(crate) fn new(seed: u64, proxies: usize, acknowledge: Acknowledge) -> Self {
         let mut world = Self {
             now: Time::from_millis(1),
@@ -145,7 +146,7 @@
         world
     }
 
-    /// Lets `ms` milliseconds pass.
+    /// Runs for `ms` milliseconds.
     pub(crate) fn run(&mut self, ms: u64) {
         let end = self.now + Span::from_millis(ms);
         while self.now < end {
@@ -158,7 +159,7 @@
         }
     }
 
-    /// Lets `ms` milliseconds pass while callers write and read through every proxy.
+    /// Runs for `ms` milliseconds while callers write and read through every proxy.
     pub(crate) fn traffic(&mut self, ms: u64) {
         let end = self.now + Span::from_millis(ms);
         while self.now < end {
@@ -180,7 +181,7 @@
         self.partitions.insert((a.min(b), a.max(b)));
     }
 
-    /// Cuts a data centre off from all others.
+    /// Partitions a data centre from all others.
     pub(crate) fn isolate(&mut self, site: usize) {
         for other in (0..SITES).filter(|s| *s != site) {
             self.partition(site, other);
@@ -236,7 +237,7 @@
         }
     }
 
-    /// Whether a message is for an instance that only its own data centre reaches.
+    /// Whether a message from another data centre is for an isolated instance.
     fn is_blocked(&self, envelope: &Envelope) -> bool {
         let at = match &envelope.message {
             Message::Command(_, _, at, _) => *at,
@@ -253,7 +254,7 @@
             _ => false,
         };
         if frozen {
-            // A frozen process answers once it goes on.
+            // A frozen process responds once it continues.
             self.in_flight.push(envelope);
             return;
         }
--- a/crates/policy/tests/failover/fake/oracle.rs
+++ b/crates/policy/tests/failover/fake/oracle.rs
@@ -1,4 +1,4 @@
-//! What callers were told, and whether it fits together.
+//! Checks that the outcomes that callers got are consistent.
 
 use std::collections::BTreeMap;
 
@@ -6,33 +6,34 @@
 
 use super::World;
 
-/// A promise that was broken.
+/// A violated guarantee.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Violation {
     /// An acknowledged write is not in the final log.
     Lost(u64),
     /// A write appears twice in the final log.
-    Doubled(u64),
-    /// A write began after a later term had acknowledged one, and an older term took it.
-    Replaced {
+    Duplicated(u64),
+    /// A write was acknowledged under an older term, although a write had been acknowledged
+    /// under a later term before it began.
+    ReplacedPrimary {
         write: u64,
         term: Term,
         newest: Term,
     },
-    /// Two instances acknowledged under one term.
+    /// Two instances acknowledged writes under one term.
     TwoPrimaries(Term),
     /// A read did not show a write that it had to show.
     Stale { missing: u64 },
-    /// A session was told that its acknowledged writes are gone.
+    /// A session got the response that its acknowledged writes were discarded.
     Forked(Point),
-    /// The fleet did not serve again after every fault had ended.
-    Stuck,
+    /// The fleet did not serve all writes after every fault had ended.
+    NotServing,
 }
 
-/// What one request must be able to rely on, noted when it began.
+/// What must hold for the outcome of a request, recorded when the request begins.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Expectations {
-    /// Newest term that had acknowledged a write.
+    /// Newest term under which a write was acknowledged.
     pub(crate) newest: Term,
     /// Writes that a read must show.
     pub(crate) must_show: Vec<u64>,
@@ -40,7 +41,7 @@
 
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Oracle {
-    /// Acknowledged writes with the time of the acknowledgement in microseconds.
+    /// Acknowledged writes with the time of their acknowledgement in microseconds.
     pub(crate) acknowledged: Vec<(u64, u64)>,
     newest: Term,
     primaries: BTreeMap<Term, usize>,
@@ -58,7 +59,7 @@
         }
     }
 
-    /// Writes acknowledged up to a moment.
+    /// Writes acknowledged up to the time `at`.
     pub(crate) fn acked_until(&self, at: u64) -> Vec<u64> {
         let early = self.acknowledged.iter().filter(|(_, t)| *t <= at);
         early.map(|(write, _)| *write).collect()
@@ -76,7 +77,7 @@
         self.acknowledged.push((write, at));
         if term < expectations.newest {
             let newest = expectations.newest;
-            self.violations.push(Violation::Replaced {
+            self.violations.push(Violation::ReplacedPrimary {
                 write,
                 term,
                 newest,
@@ -102,20 +103,20 @@
         for write in log {
             *counts.entry(*write).or_default() += 1;
         }
-        let doubled = counts.iter().filter(|(_, n)| **n > 1);
-        let doubled = doubled.map(|(w, _)| Violation::Doubled(*w));
+        let duplicated = counts.iter().filter(|(_, n)| **n > 1);
+        let duplicated = duplicated.map(|(w, _)| Violation::Duplicated(*w));
         let lost = self
             .acknowledged
             .iter()
             .filter(|(w, _)| !counts.contains_key(w));
         let lost = lost.map(|(w, _)| Violation::Lost(*w));
-        let found: Vec<_> = doubled.chain(lost).collect();
+        let found: Vec<_> = duplicated.chain(lost).collect();
         self.violations.extend(found);
     }
 }
 
 impl World {
-    /// Ends every fault, lets the fleet settle, and judges the final state.
+    /// Ends every fault, lets the fleet recover, and checks the final state.
     pub(crate) fn settle(&mut self) {
         self.end_all();
         self.run(6_000);
@@ -125,7 +126,7 @@
         }
         self.run(3_000);
         if self.oracle.acknowledged.len() < before + self.proxies.len() {
-            self.oracle.violations.push(Violation::Stuck);
+            self.oracle.violations.push(Violation::NotServing);
         }
         let newest = self.instances.iter().max_by_key(|i| i.term).unwrap();
         let log: Vec<_> = newest.log.iter().map(|(_, w)| *w).collect();
--- a/crates/policy/tests/failover/fake/proxy.rs
+++ b/crates/policy/tests/failover/fake/proxy.rs
@@ -1,4 +1,4 @@
-//! A proxy process around the real decisions.
+//! A proxy process with the real controllers.
 
 use std::sync::Arc;
 
@@ -26,7 +26,7 @@
 }
 
 impl World {
-    /// Starts a proxy anew, with a new id and an empty memory.
+    /// Starts or restarts a proxy with a new id and without any state.
     pub(crate) fn start_proxy(&mut self, at: usize) {
         let site = at % SITES;
         let start = self.proxies.get(at).map_or(0, |p| p.start + 1);
@@ -54,7 +54,7 @@
         self.publish_membership();
     }
 
-    /// Declares whether an instance is leaving, in force on every proxy.
+    /// Sets whether an instance is leaving in the configuration of every proxy.
     pub(crate) fn set_leaving(&mut self, instance: usize, leaving: bool) {
         let declared = &self.fleet.groups[&self.group].instances[instance];
         if declared.leaving == leaving {
--- a/crates/policy/tests/failover/fake/store.rs
+++ b/crates/policy/tests/failover/fake/store.rs
@@ -1,4 +1,4 @@
-//! The platform's store, reduced to one record with its revision.
+//! The platform's store, reduced to one record and its revision.
 
 use model::position::Revision;
 use policy::message::{StoreReply, StoreRequest, Versioned};
@@ -8,11 +8,11 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Store {
     pub(crate) held: Versioned,
-    /// No request takes effect, and none is answered.
+    /// Whether requests are ignored: none takes effect, and none gets a reply.
     pub(crate) down: bool,
-    /// Percent of requests that take effect and whose answer is lost.
+    /// Percentage of requests that take effect but whose reply is lost.
     pub(crate) lose_replies: u32,
-    /// Claims that succeeded; a term may appear once.
+    /// Terms of successful claims; each term may appear only once.
     pub(crate) claims: Vec<u64>,
 }
 
--- a/crates/policy/tests/failover/main.rs
+++ b/crates/policy/tests/failover/main.rs
@@ -1,5 +1,5 @@
-//! Changes of primary, confirmations and reads of the real controllers, with small fakes
-//! of the database group, the store, the network and the callers around them.
+//! Tests of the real controllers: changes of primary, confirmations and reads. The database
+//! group, the store, the network and the callers are small fakes.
 
 mod fake;
 mod model;
--- a/crates/policy/tests/failover/model.rs
+++ b/crates/policy/tests/failover/model.rs
@@ -1,7 +1,7 @@
-//! Random faults against the controllers of three proxies, judged by what callers were
-//! told: no acknowledged write is lost, no replaced primary acknowledges, one primary
-//! acknowledges in each term, every session reads its own writes, and the fleet serves
-//! again once the faults end.
+//! Random faults against the controllers of [`PROXIES`] proxies. The outcomes that callers
+//! get are checked: no acknowledged write is lost, no replaced primary acknowledges a write,
+//! only one primary acknowledges writes in each term, every session reads its own writes,
+//! and the fleet serves requests again once the faults end.
 
 use model::settings::Acknowledge;
 use proptest::prelude::*;
@@ -15,15 +15,15 @@
 const CASES: u32 = 48;
 const PROXIES: usize = 4;
 
-/// Faults that are there at once, at most.
-const AT_ONCE: usize = 2;
+/// Largest number of simultaneous faults.
+const MAX_CONCURRENT_FAULTS: usize = 2;
 
-/// One transition.
+/// One transition of the state machine.
 #[derive(Clone, Debug)]
 enum Op {
-    /// Time passes while callers write and read.
+    /// Callers write and read for this many milliseconds.
     Traffic(u64),
-    /// One request by itself.
+    /// A single request.
     Write(usize, usize),
     Read(usize, usize, Requirement),
     /// A fault begins.
@@ -73,11 +73,11 @@
     ]
 }
 
-/// Transitions that the state allows, so that hardly any are drawn in vain.
+/// Transitions that the state allows, so that few generated ones are rejected.
 fn op(faults: usize) -> impl Strategy<Value = Op> {
     let proxy = 0..PROXIES;
     let session = 0..3_usize;
-    let begin = if faults < AT_ONCE { 3 } else { 0 };
+    let begin = if faults < MAX_CONCURRENT_FAULTS { 3 } else { 0 };
     let end = if faults > 0 { 2 } else { 0 };
     prop_oneof![
         4 => prop_oneof![2..60_u64, 100..700_u64, 700..2_000_u64].prop_map(Op::Traffic),
@@ -88,7 +88,7 @@
     ]
 }
 
-/// Seed of the world and the number of faults that are there.
+/// Seed of the world and the number of active faults.
 #[derive(Clone, Copy, Debug)]
 struct Model {
     seed: u64,
@@ -119,7 +119,7 @@
 
     fn preconditions(state: &Self, op: &Op) -> bool {
         match op {
-            Op::Begin(_) => state.faults < AT_ONCE,
+            Op::Begin(_) => state.faults < MAX_CONCURRENT_FAULTS,
             Op::End => state.faults > 0,
             Op::Traffic(_) | Op::Write(..) | Op::Read(..) => true,
         }
@@ -177,5 +177,5 @@
     #![proptest_config(config())]
 
     #[test]
-    fn callers_are_told_the_truth(sequential 1..60 => Controllers);
+    fn callers_get_correct_outcomes(sequential 1..60 => Controllers);
 }
--- a/crates/policy/tests/failover/scenarios.rs
+++ b/crates/policy/tests/failover/scenarios.rs
@@ -1,5 +1,5 @@
-//! Changes of primary under one fault, or two at once. Each story's callers are judged by
-//! the oracle once the faults have ended.
+//! Changes of primary under one fault or two simultaneous ones. After the faults have ended,
+//! the oracle checks the outcomes that the callers got.
 
 use model::position::Term;
 use model::settings::Acknowledge;
@@ -19,12 +19,12 @@
 }
 
 /// The newest term that an instance leads.
-fn newest(world: &World) -> Term {
+fn newest_term(world: &World) -> Term {
     let leader = &world.instances[world.leader()];
     leader.term
 }
 
-/// Ends every fault and checks that callers were told the truth and are served again.
+/// Ends every fault and checks that all outcomes were correct and requests are served again.
 fn finish(world: &mut World) {
     world.settle();
     assert_eq!(world.oracle.violations, []);
@@ -35,8 +35,8 @@
     all.filter(|d| wanted(&d.what)).count()
 }
 
-/// Lets time pass until a proxy's attempt has reached a stage, and names the proxy.
-fn until(world: &mut World, stage: impl Fn(&Step) -> bool) -> usize {
+/// Runs until a proxy's attempt reaches a step, and returns the index of the proxy.
+fn run_until(world: &mut World, stage: impl Fn(&Step) -> bool) -> usize {
     for _ in 0..1_000 {
         let mut proxies = world.proxies.iter();
         let reached = proxies.position(|p| {
@@ -53,8 +53,8 @@
     panic!("no attempt reached the stage");
 }
 
-// A user files a record while the primary's server dies. The write certainly did not run,
-// so it waits; the replicas say that they do not hear the primary either; one of them is
+// A write arrives after the primary's server has stopped responding. It has certainly not
+// run, so it waits. The replicas also report no contact with the primary; one of them is
 // promoted, and the write runs there once.
 #[test]
 fn a_dead_primary_is_replaced_while_writes_wait() {
@@ -65,7 +65,7 @@
     world.write(1, 0);
     world.run(900);
     assert_eq!(world.oracle.acknowledged.len(), acked + 1);
-    assert!(newest(&world) > Term(1));
+    assert!(newest_term(&world) > Term(1));
     let phases = world.proxies.iter().flat_map(|p| &p.decisions);
     let mut phases: Vec<_> = phases.filter_map(|d| Some(d.phase?.0)).collect();
     phases.sort_unstable();
@@ -82,67 +82,67 @@
     finish(&mut world);
 }
 
-// Users notice a short hiccup at most. The primary stalls for 300 ms, or one connection
-// goes silent, or one data centre is cut off from it; replacing it would interrupt every
-// writer for longer than the fault does.
+// The primary stalls for 300 ms, one data centre is partitioned from it, messages are lost,
+// or the store is down. Replacing the primary would interrupt every writer for longer than
+// the fault does.
 #[test_case(Fault::FreezeLeader, 300; "a stall of 300 ms")]
 #[test_case(Fault::Partition(0, 2), 5_000; "one data centre does not reach the primary")]
-#[test_case(Fault::IsolateSite(1), 5_000; "a replica's data centre is cut off")]
+#[test_case(Fault::IsolateSite(1), 5_000; "a replica's data centre is partitioned")]
 #[test_case(Fault::Loss(10), 5_000; "a tenth of all messages is lost")]
 #[test_case(Fault::StoreDown, 5_000; "the store is down")]
-fn a_live_primary_stays(fault: Fault, ms: u64) {
+fn a_live_primary_is_not_replaced(fault: Fault, ms: u64) {
     let mut world = world(2);
     world.begin(fault);
     world.run(ms);
     world.end_all();
     world.traffic(1_000);
-    assert_eq!(newest(&world), Term(1));
+    assert_eq!(newest_term(&world), Term(1));
     assert_eq!(decided(&world, |w| matches!(w, What::Replace(..))), 0);
     finish(&mut world);
 }
 
-// The primary's process crashes: connections are refused. It is replaced in half the time
-// that a silent one gets, since a stall does not look like this.
+// The primary's process crashes and connections are refused. It is replaced after half the
+// usual timeout, since a stalled process does not refuse connections.
 #[test]
 fn a_crashed_primary_is_replaced_sooner() {
     let mut world = world(13);
     world.begin(Fault::DownLeader);
     world.run(420);
-    assert!(newest(&world) > Term(1));
+    assert!(newest_term(&world) > Term(1));
     finish(&mut world);
 }
 
-// An operator takes the primary out of service. Another instance leads within the three
-// seconds in which it must get no new work, and nothing acknowledged is lost.
+// An operator decommissions the primary, which must get no new work after three seconds at
+// most. Another instance leads before, no write is rejected, and no acknowledged one is lost.
 #[test]
 fn a_leaving_primary_hands_over() {
     let mut world = world(14);
     world.begin(Fault::Leaving(0));
     world.traffic(1_500);
     assert_ne!(world.leader(), 0);
-    let refused = world.oracle.callers.outcomes.rejected;
-    assert_eq!(refused, 0);
+    let rejected = world.oracle.callers.outcomes.rejected;
+    assert_eq!(rejected, 0);
     finish(&mut world);
 }
 
-// A broker's data centre does not reach the primary while the others do. Its writes go
-// through a proxy that reaches it, and nothing is promoted.
+// One data centre does not reach the primary while the others do. Its writes are forwarded
+// through a proxy that reaches the primary, and no instance is promoted.
 #[test]
 fn writes_go_through_a_peer_that_reaches_the_primary() {
     let mut world = world(3);
     world.begin(Fault::Partition(0, 2));
     world.run(1_500);
     assert!(decided(&world, |w| matches!(w, What::Forward(_))) > 0);
-    assert_eq!(newest(&world), Term(1));
+    assert_eq!(newest_term(&world), Term(1));
     finish(&mut world);
 }
 
-// The primary's data centre is cut off together with a proxy that still routes writes to
-// it. Users of that proxy get no acknowledgement from then on, since no majority confirms;
-// users elsewhere write to the new primary. On healing the old one follows, and its tail
-// of unconfirmed records is reported.
+// The primary's data centre is partitioned together with a proxy that still routes writes
+// to it. Callers of that proxy get no acknowledgement, since no majority confirms; callers
+// elsewhere write to the new primary. After the partition heals, the old primary follows,
+// and its unconfirmed records are reported.
 #[test]
-fn an_isolated_primary_acknowledges_nothing_and_then_follows() {
+fn an_isolated_primary_acknowledges_nothing_and_later_follows() {
     let mut world = world(4);
     world.begin(Fault::IsolateLeaderSite);
     let acked = world.oracle.acknowledged.len();
@@ -160,16 +160,16 @@
     finish(&mut world);
 }
 
-// The primary reaches none of its replicas, but the proxies beside it reach the primary and
-// go on sending it writes. None of these can be acknowledged, so it is replaced as soon
-// as one that nobody reaches; users of those proxies write to the new one as well.
+// The primary reaches none of its replicas, but the proxies of its data centre reach it and
+// continue to send it writes. None of these can be acknowledged, so it is replaced as soon
+// as a primary that no proxy reaches; callers of those proxies write to the new one as well.
 #[test]
 fn a_primary_that_only_its_own_proxies_reach_is_replaced() {
     let mut world = world(15);
     world.begin(Fault::IsolateLeaderInstance);
     world.write(0, 0);
     world.run(800);
-    assert!(newest(&world) > Term(1));
+    assert!(newest_term(&world) > Term(1));
     let acked = world.oracle.acknowledged.len();
     world.write(0, 1);
     world.run(300);
@@ -177,9 +177,9 @@
     finish(&mut world);
 }
 
-// The coordinating proxy dies or is paused right after a step, while a primary is gone.
-// Another one claims the next term and finishes; when the paused one goes on where it
-// stopped, its orders are of an older term and change nothing.
+// The proxy that replaces a failed primary is killed or paused right after a step. Another
+// proxy claims the next term and finishes the change. When the paused proxy continues, its
+// commands have an older term and no effect.
 #[test_case(|s| matches!(s, Step::Claiming), Fault::Kill; "killed while claiming")]
 #[test_case(|s| matches!(s, Step::Fencing), Fault::Kill; "killed after the claim")]
 #[test_case(|s| matches!(s, Step::Promoting(_)), Fault::Kill; "killed after the fence")]
@@ -188,10 +188,10 @@
 #[test_case(|s| matches!(s, Step::Fencing), Fault::Pause; "paused after the claim")]
 #[test_case(|s| matches!(s, Step::Promoting(_)), Fault::Pause; "paused after the fence")]
 #[test_case(|s| matches!(s, Step::Publishing(_)), Fault::Pause; "paused after the promotion")]
-fn another_proxy_finishes(stage: fn(&Step) -> bool, fault: fn(usize) -> Fault) {
+fn another_proxy_finishes_the_change(stage: fn(&Step) -> bool, fault: fn(usize) -> Fault) {
     let mut world = world(5);
     world.begin(Fault::FreezeLeader);
-    let at = until(&mut world, stage);
+    let at = run_until(&mut world, stage);
     world.begin(fault(at));
     world.run(2_500);
     let other = (at + 1) % 3;
@@ -204,8 +204,8 @@
     finish(&mut world);
 }
 
-// Two proxies believe at the same moment that it is theirs to coordinate, as each sees
-// only itself alive. One of them wins the term, and callers see one change of primary.
+// Several proxies start to coordinate at the same time, as the membership shows each of
+// them no other live proxy. One of them wins the term, and callers see one change of primary.
 #[test]
 fn two_coordinators_promote_one_primary() {
     let mut world = world(6);
@@ -218,67 +218,67 @@
     finish(&mut world);
 }
 
-// Every other answer of the store is lost although the change took effect. The claim is
-// settled by reading back the nonce, and no term is claimed twice.
-#[test_case(50; "half of the answers")]
-#[test_case(90; "nearly all answers")]
-fn lost_answers_of_the_store_are_read_back(percent: u32) {
+// Replies of the store are lost although the change took effect. Reading back the nonce
+// shows whether the claim took effect, and no term is claimed twice.
+#[test_case(50; "half of the replies")]
+#[test_case(90; "nearly all replies")]
+fn lost_replies_of_the_store_are_resolved_by_reading(percent: u32) {
     let mut world = world(7);
     world.begin(Fault::LoseReplies(percent));
     world.begin(Fault::FreezeLeader);
     world.run(8_000);
-    assert!(newest(&world) > Term(1));
+    assert!(newest_term(&world) > Term(1));
     let claims = &world.store.claims;
     assert!(claims.windows(2).all(|w| w[0] < w[1]));
     finish(&mut world);
 }
 
-// The store is down when the primary dies. Nobody can be promoted; users are told at once
-// that their writes did not run, and once the store is back a primary is promoted.
+// The store is down when the primary fails, so that no instance can be promoted. Writes are
+// rejected as not run; once the store is back, a primary is promoted.
 #[test]
-fn without_the_store_a_promotion_waits() {
+fn no_promotion_happens_without_the_store() {
     let mut world = world(8);
     world.begin(Fault::StoreDown);
     world.begin(Fault::FreezeLeader);
     world.run(2_000);
-    let refused = world.oracle.callers.outcomes.rejected;
+    let rejected = world.oracle.callers.outcomes.rejected;
     world.write(1, 0);
     world.run(3_500);
-    assert_eq!(world.oracle.callers.outcomes.rejected, refused + 1);
-    assert_eq!(newest(&world), Term(1));
+    assert_eq!(world.oracle.callers.outcomes.rejected, rejected + 1);
+    assert_eq!(newest_term(&world), Term(1));
     world.end_oldest();
     world.run(1_500);
-    assert!(newest(&world) > Term(1));
+    assert!(newest_term(&world) > Term(1));
     finish(&mut world);
 }
 
-// A second instance is lost while the first promotion is under way. No majority is left:
-// writes are refused at once as not run, reads by age go on, and nothing is lost when one
-// of the two returns.
+// A second instance fails during the promotion, and no majority is left. Writes are
+// rejected at once as not run, reads with an accepted age are still served, and no
+// acknowledged write is lost when one of the two returns.
 #[test]
-fn a_second_loss_during_the_promotion_refuses_writes_at_once() {
+fn a_second_failure_during_the_promotion_rejects_writes_at_once() {
     let mut world = world(9);
     world.begin(Fault::FreezeLeader);
-    until(&mut world, |s| matches!(s, Step::Fencing));
+    run_until(&mut world, |s| matches!(s, Step::Fencing));
     world.begin(Fault::Freeze(1));
     world.run(3_000);
-    let (refused, acked) = (
+    let (rejected, acked) = (
         world.oracle.callers.outcomes.rejected,
         world.oracle.acknowledged.len(),
     );
     world.write(2, 0);
     world.run(10);
-    assert_eq!(world.oracle.callers.outcomes.rejected, refused + 1);
+    assert_eq!(world.oracle.callers.outcomes.rejected, rejected + 1);
     assert_eq!(world.oracle.acknowledged.len(), acked);
     world.end_oldest();
     world.run(3_000);
     finish(&mut world);
 }
 
-// The replicas are far behind when the primary dies. What was acknowledged is on one of
-// them at least, and that one is chosen, however far the others are.
+// The replicas lag far behind when the primary fails. At least one of them holds all
+// acknowledged writes, and that one is chosen.
 #[test]
-fn far_behind_replicas_lose_nothing_acknowledged() {
+fn lagging_replicas_lose_no_acknowledged_write() {
     let mut world = world(10);
     world.begin(Fault::ReplicationLimit(1));
     world.traffic(1_000);
@@ -287,8 +287,8 @@
     finish(&mut world);
 }
 
-// A clerk writes through one proxy and reads through another that has not heard of the
-// change of primary yet. The read shows the write, or waits, with and without the token.
+// A session writes through one proxy and reads through another that does not know of the
+// change of primary yet. The read shows the write or waits, with and without the token.
 #[test_case(Requirement::Token; "with the token")]
 #[test_case(Requirement::Unstated; "without the token")]
 fn a_roaming_session_reads_its_writes_across_a_promotion(requirement: Requirement) {
@@ -307,10 +307,10 @@
     finish(&mut world);
 }
 
-// The oracle itself: with acknowledgement by the primary alone a promotion loses writes
-// that users were told are safe, and the oracle must say so.
+// Test of the oracle: with acknowledgement by the primary alone, a promotion loses
+// acknowledged writes, and the oracle must report it.
 #[test]
-fn the_oracle_notices_writes_acknowledged_too_early() {
+fn the_oracle_detects_writes_acknowledged_too_early() {
     let mut world = World::new(12, 3, Acknowledge::Primary);
     world.begin(Fault::ReplicationLimit(0));
     world.traffic(500);
--- a/crates/policy/tests/promote.rs
+++ b/crates/policy/tests/promote.rs
@@ -1,4 +1,4 @@
-//! Single steps of a promotion.
+//! Tests of the steps of a promotion attempt.
 
 use indexmap::IndexMap;
 use model::config::{Fleet, Group, Instance};
@@ -51,7 +51,7 @@
     StoreReply::Found(Versioned { revision, record })
 }
 
-/// An attempt of p1 with nonce 7 whose claim of term 2 is under way as query 1.
+/// An attempt of p1 with nonce 7 that has sent its claim of term 2 as query 1.
 fn claiming() -> Attempt {
     let me = "p1".parse().unwrap();
     let known = Versioned::default();
@@ -65,10 +65,11 @@
     attempt
 }
 
-// Two proxies claim the same term at once. One of them gets no answer and reads back. The
-// record has the term that it claimed, but the other's nonce: the term is not its own.
+// Two proxies claim the same term at the same time. One of them gets no reply and reads the
+// record back. The record has the claimed term but the other proxy's nonce, so that the term
+// belongs to the other proxy.
 #[test]
-fn a_lost_claim_is_not_taken_for_a_won_one() {
+fn a_claim_lost_to_another_proxy_is_recognised() {
     let mut attempt = claiming();
     assert_eq!(
         attempt.take_store_reply(NOW, QueryId(1), StoreReply::Unknown),
@@ -81,9 +82,9 @@
     assert!(!attempt.has_claim());
 }
 
-// The claim took effect and its answer was lost. Reading back finds its own nonce.
+// The claim took effect, but its reply was lost. The record read back has its nonce.
 #[test]
-fn a_claim_whose_answer_was_lost_is_recognised() {
+fn a_claim_whose_reply_was_lost_is_recognised() {
     let mut attempt = claiming();
     attempt.take_store_reply(NOW, QueryId(1), StoreReply::Unknown);
     attempt.store_queried(NOW, QueryId(2));
@@ -92,10 +93,10 @@
     assert_eq!(progress, Some(Progress::Claimed));
 }
 
-// The claim did not take effect yet and its answer was lost. It is sent again on the same
-// revision, so that of the two at most one takes effect.
+// The claim has not taken effect yet, and its reply was lost. It is repeated with the same
+// expected revision, so that at most one of the two takes effect.
 #[test]
-fn a_claim_without_effect_is_sent_again() {
+fn a_claim_without_effect_is_repeated() {
     let mut attempt = claiming();
     attempt.take_store_reply(NOW, QueryId(1), StoreReply::Unknown);
     attempt.store_queried(NOW, QueryId(2));
@@ -105,10 +106,10 @@
     assert_eq!(late, Some(Progress::Claimed));
 }
 
-// The chosen instance does not answer. It may have been promoted all the same, so the
-// attempt ends, and nobody else is promoted under its term.
+// The chosen instance does not respond. It may have been promoted nevertheless, so the
+// attempt ends, and no other instance is promoted under its term.
 #[test]
-fn one_term_never_has_a_second_choice() {
+fn a_term_never_has_a_second_choice() {
     let spec = spec(None);
     let mut attempt = claiming();
     attempt.take_store_reply(NOW, QueryId(1), StoreReply::Swapped(Revision(1)));
@@ -134,15 +135,19 @@
     }
 }
 
-// The log with the newest term goes first, then the longest; a leaving instance goes last
-// as long as a majority of logs ends no later than another's.
+// The log with the newest term is preferred, then the longest one. A leaving instance is
+// chosen only if no other instance is safe to promote.
 #[test_case(None, [Some(("1:0", 5)), Some(("1:0", 7)), None], Some("i1"); "the longer log")]
 #[test_case(None, [Some(("1:0", 9)), Some(("1:0,3:5", 6)), None], Some("i1"); "the newer term")]
 #[test_case(None, [Some(("1:0", 5)), Some(("1:0", 5)), None], Some("i0"); "a tie")]
 #[test_case(None, [Some(("1:0", 5)), None, None], None; "no majority")]
 #[test_case(Some(0), [Some(("1:0", 9)), Some(("1:0", 8)), Some(("1:0", 7))], Some("i1"); "leaving")]
 #[test_case(Some(0), [Some(("1:0", 9)), Some(("1:0", 8)), None], Some("i0"); "leaving, the only safe one")]
-fn chooses(leaving: Option<usize>, logs: [Option<(&str, u64)>; 3], expected: Option<&str>) {
+fn chooses_the_next_primary(
+    leaving: Option<usize>,
+    logs: [Option<(&str, u64)>; 3],
+    expected: Option<&str>,
+) {
     let mut statuses = IndexMap::new();
     for (at, log) in logs.into_iter().enumerate() {
         if let Some((history, received)) = log {
