--- a/crates/policy/src/failure_detector.rs
+++ b/crates/policy/src/failure_detector.rs
@@ -29,9 +29,9 @@
 /// may be due to a listener that is just being opened.
 const MIN_REFUSALS: u32 = 2;
 
-/// Factor on the failure timeout for a primary that proxies reach but a majority of
-/// instances has no contact with. No write on it can be confirmed, but a short partition
-/// between the instances heals by itself.
+/// Factor on the setting `suspect_after` for the replacement of a primary that proxies reach
+/// but a majority of instances has no contact with. No write on it can be confirmed, but a
+/// short partition between the instances heals by itself.
 const ISOLATED_FACTOR: u64 = 2;
 
 /// How an instance responds to this proxy.
@@ -125,9 +125,9 @@
     /// How it responds to this proxy.
     pub reachability: Reachability,
     /// Newest observation of each instance.
-    pub seen: &'a IndexMap<InstanceId, Observation>,
+    pub observations: &'a IndexMap<InstanceId, Observation>,
     /// Newest report of each other proxy.
-    pub peers: &'a IndexMap<ProxyId, ReceivedReport>,
+    pub reports: &'a IndexMap<ProxyId, ReceivedReport>,
 }
 
 /// What to do about a primary.
@@ -201,14 +201,14 @@
                 && self.now.since(o.queried_at) <= MAX_REPORT_AGE
                 && o.status.contact_age >= timeout
         };
-        let seen = self.seen.iter().filter(no_contact);
+        let seen = self.observations.iter().filter(no_contact);
         seen.map(|(id, o)| (id, o.status.contact_age)).collect()
     }
 
     fn recent_reports(&self) -> impl Iterator<Item = &ReceivedReport> {
         let about = |h: &&ReceivedReport| h.report.primary.as_ref() == Some(self.primary);
         let recent = |h: &&ReceivedReport| self.now.since(h.received_at) <= MAX_REPORT_AGE;
-        self.peers.values().filter(about).filter(recent)
+        self.reports.values().filter(about).filter(recent)
     }
 
     fn reaching_peers(&self) -> impl Iterator<Item = &ReceivedReport> {
--- a/crates/policy/src/group/step.rs
+++ b/crates/policy/src/group/step.rs
@@ -75,8 +75,8 @@
             primary,
             since: self.leadership.since,
             reachability: self.reachability.get(primary).copied().unwrap_or_default(),
-            seen: &self.observations,
-            peers: &self.reports,
+            observations: &self.observations,
+            reports: &self.reports,
         }
     }
 
