--- a/crates/policy/src/confirm.rs
+++ b/crates/policy/src/confirm.rs
@@ -1,42 +1,44 @@
-//! Confirmation of writes: a write counts once a majority holds it under one term.
+//! Confirmation of writes: a write is confirmed once a majority holds it under one term.
 
 use indexmap::IndexMap;
 use model::id::InstanceId;
 use model::position::{Point, Position, Term};
 use model::unit::Time;
 
-use crate::message::Ticket;
+use crate::message::RequestId;
 use crate::route::Unconfirmed;
 use crate::status::Status;
 
-/// A write that waits for its majority.
+/// A write that is not held by a majority yet.
 #[derive(Clone, Copy, Debug)]
 struct Pending {
-    ticket: Ticket,
+    request: RequestId,
     position: Position,
     deadline: Time,
 }
 
 /// Outcome of a confirmation.
-pub type Outcome = (Ticket, Result<(), Unconfirmed>);
+pub type Outcome = (RequestId, Result<(), Unconfirmed>);
 
 /// Confirmations of one group under its newest term.
 ///
-/// Invariant: `held` only has positions of `term`, each proven by a status that showed no
-/// later promise. A proof never expires: a fence that comes later finds the record.
+/// Invariant: `held` only contains positions of `term`, each proven by a status without a
+/// later promise, or by the commit on the primary. A proof never expires: a later fence
+/// finds the record in the log.
 #[derive(Clone, Debug, Default)]
-pub struct Confirm {
+pub struct Confirmations {
     term: Term,
     held: IndexMap<InstanceId, Position>,
     pending: Vec<Pending>,
 }
 
-impl Confirm {
-    /// Moves to a newer term; writes of the older one are given up as unknown.
+impl Confirmations {
+    /// Switches to a newer term and ends the pending writes of the older one with an unknown
+    /// outcome.
     ///
-    /// They may have survived the promotion, but they ran on a primary that is replaced,
-    /// and such a one must never get a write acknowledged.
-    pub fn begin(&mut self, term: Term) -> Vec<Outcome> {
+    /// They may have survived the promotion, but they ran on a primary that is now replaced,
+    /// and no write on a replaced primary may be acknowledged.
+    pub fn start_term(&mut self, term: Term) -> Vec<Outcome> {
         if term <= self.term {
             return Vec::new();
         }
@@ -45,14 +47,14 @@
         let replaced = std::mem::take(&mut self.pending);
         replaced
             .into_iter()
-            .map(|p| (p.ticket, Err(Unconfirmed::Replaced)))
+            .map(|p| (p.request, Err(Unconfirmed::Replaced)))
             .collect()
     }
 
-    /// Takes in a write that ran on `primary`; its commit proves that the primary holds it.
+    /// Adds a write that ran on `primary`; its commit proves that the primary holds it.
     pub fn add(
         &mut self,
-        ticket: Ticket,
+        request: RequestId,
         point: Point,
         primary: &InstanceId,
         deadline: Time,
@@ -65,14 +67,14 @@
         }
         self.raise(primary, point.position);
         self.pending.push(Pending {
-            ticket,
+            request,
             position: point.position,
             deadline,
         });
         Ok(())
     }
 
-    /// Takes in a status of an instance.
+    /// Processes a status of an instance.
     pub fn observe(&mut self, instance: &InstanceId, status: &Status) {
         let end = status.end();
         if end.term == self.term && status.holds(end) {
@@ -85,9 +87,10 @@
         *held = (*held).max(position);
     }
 
-    /// Answers the writes that `majority` instances hold, and those whose time is up.
+    /// Removes the writes that `majority` instances hold, and those past their deadline, and
+    /// returns their outcomes.
     pub fn settle(&mut self, now: Time, majority: usize) -> Vec<Outcome> {
-        let safe = self.safe(majority);
+        let safe = self.majority_position(majority);
         let mut out = Vec::new();
         self.pending.retain(|p| {
             let result = if safe.is_some_and(|s| p.position <= s) {
@@ -97,30 +100,30 @@
             } else {
                 return true;
             };
-            out.push((p.ticket, result));
+            out.push((p.request, result));
             false
         });
         out
     }
 
     /// Last position of the term that a majority holds.
-    pub fn safe(&self, majority: usize) -> Option<Position> {
+    pub fn majority_position(&self, majority: usize) -> Option<Position> {
         let mut held: Vec<_> = self.held.values().copied().collect();
         held.sort_unstable_by(|a, b| b.cmp(a));
         held.get(majority.checked_sub(1)?).copied()
     }
 
-    /// The lowest pending position that `instance` is not known to hold beyond `after`.
+    /// The lowest pending position beyond `after` that `instance` is not known to hold.
     ///
-    /// One waiting question serves every commit up to the position that it returns.
-    pub fn wanted(&self, instance: &InstanceId, after: Position) -> Option<Position> {
+    /// One waiting query covers every commit up to the position that its response reports.
+    pub fn next_wait(&self, instance: &InstanceId, after: Position) -> Option<Position> {
         let held = self.held.get(instance).copied().unwrap_or_default();
         let floor = held.max(after);
-        let wanted = self.pending.iter().map(|p| p.position);
-        wanted.filter(|p| *p > floor).min()
+        let positions = self.pending.iter().map(|p| p.position);
+        positions.filter(|p| *p > floor).min()
     }
 
-    /// When the next pending write's time is up.
+    /// The earliest deadline of a pending write.
     pub fn next_deadline(&self) -> Option<Time> {
         self.pending.iter().map(|p| p.deadline).min()
     }
--- a/crates/policy/src/group.rs
+++ b/crates/policy/src/group.rs
@@ -1,12 +1,12 @@
-//! Controller of one database group: everything that a proxy decides about it.
+//! Controller of one database group: all decisions of one proxy about the group.
 //!
-//! One call of [`Group::step`] takes in one event and gives out the actions that follow.
-//! It keeps no clock, opens no socket and draws its randomness from the given seed, so
-//! that a run is repeated exactly by repeating its events.
+//! [`Group::step`] processes one event and returns the resulting actions. The controller
+//! reads no clock, opens no socket and takes its randomness from the given seed, so that
+//! replaying the events repeats a run exactly.
 
-mod answer;
-mod drive;
 mod repair;
+mod responses;
+mod step;
 mod waiting;
 
 use indexmap::IndexMap;
@@ -16,231 +16,232 @@
 use rand::rngs::SmallRng;
 use rand::{Rng as _, SeedableRng as _};
 
-use crate::confirm::{self, Confirm};
-use crate::decision::{Decision, Fact, Phase, Ring, Trace, What};
-use crate::failure_detector::{Heard, Reach, Verdict};
+use crate::confirm::{self, Confirmations};
+use crate::decision::{Decision, DecisionLog, Fact, Phase, TraceId, What};
+use crate::failure_detector::{Reachability, ReceivedReport, Verdict};
 use crate::freshness::Freshness;
 use crate::message::{
-    Action, Ask, Channel, Event, Peer, PeerReport, Query, Recipients, StoreRequest, Ticket,
-    Versioned,
+    Action, Channel, Command, Event, Peer, PeerReport, QueryId, Recipients, RequestId,
+    StoreRequest, Versioned,
 };
 use crate::poll::{Kind, Open, Poll};
 use crate::promote::Attempt;
 use crate::read::Load;
-use crate::spec::{Me, Spec};
-use crate::status::Observed;
+use crate::spec::{LocalProxy, Spec};
+use crate::status::Observation;
 use waiting::Waiting;
 
-/// Span within which a step at most must follow the last one, so that retries and
-/// timeouts take place.
+/// Longest interval between two steps; retries and timeouts depend on it.
 pub const TICK: Span = Span::from_millis(10);
 
-/// The newest primary that this proxy knows of.
+/// The newest primary known to this proxy.
 #[derive(Clone, Debug, Default)]
-pub struct Lead {
+pub struct Leadership {
     /// Its term; term 0 before any is known.
     pub term: Term,
     /// The primary.
     pub primary: Option<InstanceId>,
-    /// Since when it is known.
+    /// When this proxy learnt of it.
     pub since: Time,
 }
 
-/// Stages of the newest change of primary, for the breakdown of its write gap.
+/// The newest change of primary, for the measurement of its stages.
 #[derive(Clone, Copy, Debug)]
 struct Change {
-    trace: Trace,
-    /// When the new primary was known to lead; taken by the first confirmed write.
+    trace: TraceId,
+    /// When the new primary was first seen to lead; cleared by the first confirmed write.
     promoted: Option<Time>,
 }
 
-/// Controller of one group on one proxy.
+/// Controller of one group in one proxy.
 #[derive(Debug)]
 pub struct Group {
-    me: Me,
+    local_proxy: LocalProxy,
     spec: Spec,
     rng: SmallRng,
     started: Time,
-    /// Time of the newest step; every step has a later one than those before, so that
-    /// "asked since" and "asked before" can be told apart.
+    /// Time of the newest step. It rises strictly from step to step, so that queries sent
+    /// before and after an event are distinguishable.
     now: Time,
-    lead: Lead,
+    leadership: Leadership,
     change: Change,
-    /// The record in the store, as last heard.
-    known: Option<Versioned>,
-    seen: IndexMap<InstanceId, Observed>,
-    reach: IndexMap<InstanceId, Reach>,
+    /// Newest known state of the leadership record.
+    known_record: Option<Versioned>,
+    observations: IndexMap<InstanceId, Observation>,
+    reachability: IndexMap<InstanceId, Reachability>,
     polls: IndexMap<InstanceId, Poll>,
     loads: IndexMap<InstanceId, Load>,
-    /// When each instance was last told to follow.
-    followed: IndexMap<InstanceId, Time>,
-    live: Vec<Peer>,
-    views: IndexMap<ProxyId, Heard>,
-    confirm: Confirm,
-    fresh: Freshness,
+    /// When each instance was last commanded to follow the primary.
+    last_follow: IndexMap<InstanceId, Time>,
+    live_proxies: Vec<Peer>,
+    reports: IndexMap<ProxyId, ReceivedReport>,
+    confirmations: Confirmations,
+    freshness: Freshness,
     waiting: Vec<Waiting>,
     attempt: Option<Attempt>,
-    /// When the attempt's stage began.
-    stage: Time,
-    /// No attempt of our own before this moment: another claimant is at work.
-    yielding: Time,
+    /// When the current stage of the attempt began.
+    stage_start: Time,
+    /// This proxy starts no attempt before this time: another claimant is active.
+    yield_until: Time,
     verdict: Verdict,
     verdict_since: Time,
-    /// Since when a majority or the primary itself has promised a later term.
-    deposed: Option<Time>,
-    /// When a request last asked for a route.
-    used: Option<Time>,
-    told: Option<Time>,
-    reading: Option<(Query, Time)>,
-    queries: u64,
-    ring: Ring,
-    out: Vec<Action>,
+    /// Since when the primary itself or a majority has promised a later term.
+    deposed_since: Option<Time>,
+    /// When the newest request for a route arrived.
+    last_request: Option<Time>,
+    last_report: Option<Time>,
+    pending_read: Option<(QueryId, Time)>,
+    last_query: u64,
+    decisions: DecisionLog,
+    actions: Vec<Action>,
 }
 
 impl Group {
-    /// A controller that knows nothing of the group's state yet.
-    pub fn new(now: Time, me: Me, spec: Spec, seed: u64) -> Self {
+    /// Creates a controller without any knowledge of the group's state.
+    pub fn new(now: Time, local_proxy: LocalProxy, spec: Spec, seed: u64) -> Self {
         Self {
-            me,
+            local_proxy,
             spec,
             rng: SmallRng::seed_from_u64(seed),
             started: now,
             now,
-            lead: Lead::default(),
+            leadership: Leadership::default(),
             change: Change {
-                trace: Trace::default(),
+                trace: TraceId::default(),
                 promoted: None,
             },
-            known: None,
-            seen: IndexMap::new(),
-            reach: IndexMap::new(),
+            known_record: None,
+            observations: IndexMap::new(),
+            reachability: IndexMap::new(),
             polls: IndexMap::new(),
             loads: IndexMap::new(),
-            followed: IndexMap::new(),
-            live: Vec::new(),
-            views: IndexMap::new(),
-            confirm: Confirm::default(),
-            fresh: Freshness::default(),
+            last_follow: IndexMap::new(),
+            live_proxies: Vec::new(),
+            reports: IndexMap::new(),
+            confirmations: Confirmations::default(),
+            freshness: Freshness::default(),
             waiting: Vec::new(),
             attempt: None,
-            stage: now,
-            yielding: now,
+            stage_start: now,
+            yield_until: now,
             verdict: Verdict::Healthy,
             verdict_since: now,
-            deposed: None,
-            used: None,
-            told: None,
-            reading: None,
-            queries: 0,
-            ring: Ring::default(),
-            out: Vec::new(),
+            deposed_since: None,
+            last_request: None,
+            last_report: None,
+            pending_read: None,
+            last_query: 0,
+            decisions: DecisionLog::default(),
+            actions: Vec::new(),
         }
     }
 
-    /// Takes in one event and gives out what follows from it.
+    /// Processes one event and returns the resulting actions.
     pub fn step(&mut self, now: Time, event: Event) -> Vec<Action> {
         self.now = now.max(self.now + Span::from_micros(1));
-        self.take(event);
-        self.drive();
-        std::mem::take(&mut self.out)
+        self.handle(event);
+        self.run_due();
+        std::mem::take(&mut self.actions)
     }
 
     /// The newest known primary.
-    pub fn lead(&self) -> &Lead {
-        &self.lead
+    pub fn leadership(&self) -> &Leadership {
+        &self.leadership
     }
 
-    /// The attempt of this proxy to replace the primary, while there is one.
+    /// This proxy's attempt to replace the primary, if one is under way.
     pub fn attempt(&self) -> Option<&Attempt> {
         self.attempt.as_ref()
     }
 
     /// The newest decisions, oldest first.
     pub fn decisions(&self) -> impl Iterator<Item = &Decision> {
-        self.ring.iter()
+        self.decisions.iter()
     }
 
     /// The newest observation of each instance.
-    pub fn seen(&self) -> &IndexMap<InstanceId, Observed> {
-        &self.seen
+    pub fn observations(&self) -> &IndexMap<InstanceId, Observation> {
+        &self.observations
     }
 
-    fn take(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         match event {
             Event::Tick => {}
             Event::Configure(spec) => self.configure(*spec),
-            Event::Peers(live) => self.live = live,
-            Event::Peer(view) => self.take_view(view),
-            Event::Answer { query, result } => self.take_answer(query, result),
-            Event::Store { query, answer } => self.take_store(query, answer),
+            Event::Peers(live) => self.live_proxies = live,
+            Event::PeerReport(report) => self.take_report(report),
+            Event::Response { query, result } => self.take_response(query, result),
+            Event::Store { query, reply } => self.take_store_reply(query, reply),
             Event::Record(versioned) => self.take_record(versioned),
             Event::RouteWrite {
-                ticket,
+                request,
                 point,
                 deadline,
-            } => self.enqueue(Waiting::write(ticket, point, self.now, deadline)),
+            } => self.enqueue(Waiting::write(request, point, self.now, deadline)),
             Event::RouteRead {
-                ticket,
+                request,
                 need,
                 deadline,
-            } => self.enqueue(Waiting::read(ticket, need, self.now, deadline)),
+            } => self.enqueue(Waiting::read(request, need, self.now, deadline)),
             Event::Confirm {
-                ticket,
+                request,
                 point,
                 deadline,
-            } => self.take_confirm(ticket, point, deadline),
+            } => self.take_confirm(request, point, deadline),
             Event::Finished { instance, took } => {
                 self.loads.entry(instance).or_default().finish(took);
             }
             Event::Released { instance } => {
                 self.loads.entry(instance).or_default().release();
             }
-            Event::Failed { instance, failure } => self.take_failed(&instance, failure),
+            Event::Failed { instance, failure } => self.handle_failure(&instance, failure),
         }
     }
 
     fn configure(&mut self, spec: Spec) {
-        self.seen.retain(|id, _| spec.members.contains_key(id));
-        self.reach.retain(|id, _| spec.members.contains_key(id));
+        self.observations
+            .retain(|id, _| spec.members.contains_key(id));
+        self.reachability
+            .retain(|id, _| spec.members.contains_key(id));
         self.polls.retain(|id, _| spec.members.contains_key(id));
         self.spec = spec;
     }
 
-    fn take_confirm(&mut self, ticket: Ticket, point: model::position::Point, deadline: Time) {
-        let Some(primary) = self.lead.primary.clone() else {
+    fn take_confirm(&mut self, request: RequestId, point: model::position::Point, deadline: Time) {
+        let Some(primary) = self.leadership.primary.clone() else {
             let result = Err(crate::route::Unconfirmed::Replaced);
-            self.out.push(Action::Confirmed { ticket, result });
+            self.actions.push(Action::Confirmed { request, result });
             return;
         };
-        let added = self.confirm.add(ticket, point, &primary, deadline);
+        let added = self.confirmations.add(request, point, &primary, deadline);
         if let Err(e) = added {
             let result = Err(e);
-            self.out.push(Action::Confirmed { ticket, result });
+            self.actions.push(Action::Confirmed { request, result });
         }
     }
 
     fn emit_confirmed(&mut self, outcomes: Vec<confirm::Outcome>) {
-        for (ticket, result) in outcomes {
+        for (request, result) in outcomes {
             if result.is_ok() {
-                self.note_first_ack();
+                self.record_first_ack();
             }
-            self.out.push(Action::Confirmed { ticket, result });
+            self.actions.push(Action::Confirmed { request, result });
         }
     }
 
-    fn note_first_ack(&mut self) {
+    fn record_first_ack(&mut self) {
         let Some(at) = self.change.promoted.take() else {
             return;
         };
         let took = self.now.since(at);
         let phase = Some((Phase::FirstAck, took));
-        self.decide(What::FirstAck, self.change.trace, phase, vec![], vec![]);
+        self.record_decision(What::FirstAck, self.change.trace, phase, vec![], vec![]);
     }
 
-    fn decide(
+    fn record_decision(
         &mut self,
         what: What,
-        trace: Trace,
+        trace: TraceId,
         phase: Option<(Phase, Span)>,
         evidence: Vec<Fact>,
         ruled_out: Vec<Fact>,
@@ -249,72 +250,72 @@
         let decision = Decision {
             at: self.now,
             group: self.spec.group.clone(),
-            term: attempt.unwrap_or(self.lead.term),
+            term: attempt.unwrap_or(self.leadership.term),
             trace,
             what,
             phase,
             evidence,
             ruled_out,
         };
-        self.ring.push(decision.clone());
-        self.out.push(Action::Decided(decision));
+        self.decisions.push(decision.clone());
+        self.actions.push(Action::Decided(decision));
     }
 
-    /// Makes a newer primary the one to route to.
-    fn learn(&mut self, term: Term, primary: &InstanceId) {
-        let known = self.lead.term == term && self.lead.primary.is_some();
-        if term < self.lead.term || known {
+    /// Routes to `primary` from now on, unless its term is old or already known.
+    fn set_primary(&mut self, term: Term, primary: &InstanceId) {
+        let known = self.leadership.term == term && self.leadership.primary.is_some();
+        if term < self.leadership.term || known {
             return;
         }
-        self.lead = Lead {
+        self.leadership = Leadership {
             term,
             primary: Some(primary.clone()),
             since: self.now,
         };
         self.verdict = Verdict::Healthy;
         self.verdict_since = self.now;
-        self.deposed = None;
-        self.followed.clear();
-        let reach = self.reach.entry(primary.clone()).or_default();
-        (reach.fresh, reach.refused) = (None, 0);
+        self.deposed_since = None;
+        self.last_follow.clear();
+        let reachability = self.reachability.entry(primary.clone()).or_default();
+        (reachability.fresh_unanswered_since, reachability.refusals) = (None, 0);
         self.change.promoted = Some(self.now);
-        let outcomes = self.confirm.begin(term);
+        let outcomes = self.confirmations.start_term(term);
         self.emit_confirmed(outcomes);
-        for (id, seen) in &self.seen {
-            self.confirm.observe(id, &seen.status);
+        for (id, seen) in &self.observations {
+            self.confirmations.observe(id, &seen.status);
         }
-        let superseded = |a: &Attempt| a.record.term < term || !a.claimed();
+        let superseded = |a: &Attempt| a.record.term < term || !a.has_claim();
         if self.attempt.as_ref().is_some_and(superseded) {
             self.attempt = None;
         }
         let ours = self.attempt.is_some();
         if !ours && term > Term(1) {
             let trace = self.change.trace;
-            self.decide(What::Learnt(primary.clone()), trace, None, vec![], vec![]);
+            self.record_decision(What::Learnt(primary.clone()), trace, None, vec![], vec![]);
         }
     }
 
-    fn draw(&mut self) -> u64 {
+    fn random(&mut self) -> u64 {
         self.rng.random()
     }
 
-    fn query(&mut self) -> Query {
-        self.queries += 1;
-        Query(self.queries)
+    fn next_query(&mut self) -> QueryId {
+        self.last_query += 1;
+        QueryId(self.last_query)
     }
 
-    fn ask(&mut self, instance: &InstanceId, ask: Ask, channel: Channel) {
-        let query = self.query();
-        let reach = self.reach.entry(instance.clone()).or_default();
-        let kind = match &ask {
-            Ask::Status => Kind::Status,
-            Ask::Wait { position, .. } => Kind::Wait(*position),
-            Ask::Fence(_) | Ask::Promote(_) | Ask::Follow { .. } => Kind::Order,
+    fn send_command(&mut self, instance: &InstanceId, command: Command, channel: Channel) {
+        let query = self.next_query();
+        let reachability = self.reachability.entry(instance.clone()).or_default();
+        let kind = match &command {
+            Command::Status => Kind::Status,
+            Command::Wait { position, .. } => Kind::Wait(*position),
+            Command::Fence(_) | Command::Promote(_) | Command::Follow { .. } => Kind::Order,
         };
         match channel {
-            Channel::Fresh => reach.ask_fresh(self.now),
-            Channel::Steady if kind == Kind::Status => reach.ask(self.now),
-            Channel::Steady => {}
+            Channel::Fresh => reachability.record_fresh_query(self.now),
+            Channel::Persistent if kind == Kind::Status => reachability.record_query(self.now),
+            Channel::Persistent => {}
         }
         let open = Open {
             query,
@@ -322,33 +323,37 @@
             kind,
         };
         self.polls.entry(instance.clone()).or_default().sent(open);
-        self.out.push(Action::Ask {
+        self.actions.push(Action::Command {
             query,
             instance: instance.clone(),
-            ask,
+            command,
             channel,
         });
     }
 
-    fn ask_store(&mut self, ask: StoreRequest) -> Query {
-        let query = self.query();
-        self.out.push(Action::Store { query, ask });
+    fn query_store(&mut self, request: StoreRequest) -> QueryId {
+        let query = self.next_query();
+        self.actions.push(Action::Store { query, request });
         query
     }
 
-    fn tell(&mut self, to: Recipients, asks: bool) {
-        let reach = self.lead.primary.as_ref().and_then(|p| self.reach.get(p));
-        let reach = reach.copied().unwrap_or_default();
-        let view = PeerReport {
+    fn send_report(&mut self, to: Recipients, wants_reply: bool) {
+        let reachability = self
+            .leadership
+            .primary
+            .as_ref()
+            .and_then(|p| self.reachability.get(p));
+        let reachability = reachability.copied().unwrap_or_default();
+        let report = PeerReport {
             group: self.spec.group.clone(),
-            proxy: self.me.id.clone(),
-            location: self.me.location.clone(),
-            term: self.lead.term,
-            primary: self.lead.primary.clone(),
-            heard: reach.age(self.now),
-            silent: reach.silent(self.now),
-            asks,
+            proxy: self.local_proxy.id.clone(),
+            location: self.local_proxy.location.clone(),
+            term: self.leadership.term,
+            primary: self.leadership.primary.clone(),
+            contact_age: reachability.contact_age(self.now),
+            unresponsive_for: reachability.unresponsive_for(self.now),
+            wants_reply,
         };
-        self.out.push(Action::Tell { to, view });
+        self.actions.push(Action::Send { to, report });
     }
 }
--- a/crates/policy/src/group/repair.rs
+++ b/crates/policy/src/group/repair.rs
@@ -1,4 +1,4 @@
-//! Bringing instances under the newest primary, and reporting what they held beyond it.
+//! Makes instances follow the newest primary, and reports records that only they hold.
 
 use model::id::InstanceId;
 use model::position::{Position, Term};
@@ -7,82 +7,83 @@
 use super::Group;
 use crate::decision::What;
 use crate::failure_detector::Verdict;
-use crate::message::{Ask, Channel};
-use crate::status::{Observed, Role, Status};
+use crate::message::{Channel, Command};
+use crate::status::{Observation, Role, Status};
 
-/// Interval at which an instance is told again to follow; a rebuild may take longer, and
-/// the order is repeated without harm.
-const FOLLOW_AGAIN: Span = Span::from_millis(1_000);
+/// Interval at which the command to follow is repeated. A rebuild may take longer;
+/// repeating the command is harmless.
+const FOLLOW_RETRY: Span = Span::from_millis(1_000);
 
-/// Head start of each proxy over the next in rank.
+/// Delay between the repairs of proxies that are neighbours in rank.
 const STAGGER: Span = Span::from_millis(500);
 
-/// Silence of its primary after which a replica is told anew whom to follow.
-const UNHEARD: Span = Span::from_millis(1_500);
+/// Time without contact to its primary after which a replica is commanded to follow again.
+const MAX_CONTACT_AGE: Span = Span::from_millis(1_500);
 
 impl Group {
-    /// An old primary that returns still believes that it leads: it is fenced and made to
-    /// follow by one order. Replicas that were out of reach are brought in alike.
+    /// Commands instances to follow the newest primary. An old primary that returns still
+    /// takes itself for the primary; one command fences it and makes it follow. Replicas
+    /// that were unreachable are handled in the same way.
     pub(super) fn repair(&mut self) {
-        let Some(primary) = self.lead.primary.clone() else {
+        let Some(primary) = self.leadership.primary.clone() else {
             return;
         };
-        if self.verdict != Verdict::Healthy || self.deposed.is_some() {
+        if self.verdict != Verdict::Healthy || self.deposed_since.is_some() {
             return;
         }
-        let turn = STAGGER.times(self.rank());
-        let promoter = self.attempt.is_some();
-        if !promoter && self.now.since(self.lead.since) < turn {
+        let stagger = STAGGER.times(self.rank());
+        let promoting = self.attempt.is_some();
+        if !promoting && self.now.since(self.leadership.since) < stagger {
             return;
         }
-        let strays = self.seen.iter();
-        let strays = strays.filter(|(id, o)| **id != primary && self.astray(id, o));
-        let strays: Vec<_> = strays
+        let detached = self.observations.iter();
+        let detached = detached.filter(|(id, o)| **id != primary && self.needs_follow(id, o));
+        let detached: Vec<_> = detached
             .map(|(id, o)| (id.clone(), o.status.clone()))
             .collect();
-        for (id, status) in strays {
-            self.bring_in(&id, &primary, &status);
+        for (id, status) in detached {
+            self.send_follow(&id, &primary, &status);
         }
     }
 
-    fn astray(&self, id: &InstanceId, seen: &Observed) -> bool {
+    fn needs_follow(&self, id: &InstanceId, seen: &Observation) -> bool {
         let status = &seen.status;
-        // A later promise is another claimant's business.
-        if status.fenced > self.lead.term {
+        // Another claimant is changing the primary under a later term.
+        if status.fenced > self.leadership.term {
             return false;
         }
-        let behind = status.fenced < self.lead.term || status.term() < self.lead.term;
-        let unheard = status.heard >= UNHEARD;
-        let astray = status.role == Role::Primary || behind || unheard;
-        let last = self.followed.get(id);
-        astray && last.is_none_or(|at| self.now.since(*at) >= FOLLOW_AGAIN)
+        let behind = status.fenced < self.leadership.term || status.term() < self.leadership.term;
+        let no_contact = status.contact_age >= MAX_CONTACT_AGE;
+        let detached = status.role == Role::Primary || behind || no_contact;
+        let last = self.last_follow.get(id);
+        detached && last.is_none_or(|at| self.now.since(*at) >= FOLLOW_RETRY)
     }
 
-    fn bring_in(&mut self, id: &InstanceId, primary: &InstanceId, status: &Status) {
+    fn send_follow(&mut self, id: &InstanceId, primary: &InstanceId, status: &Status) {
         let trace = self.change.trace;
-        let first = !self.followed.contains_key(id);
-        self.followed.insert(id.clone(), self.now);
-        if let (true, Some(shared)) = (first, self.shared(status)) {
+        let first = !self.last_follow.contains_key(id);
+        self.last_follow.insert(id.clone(), self.now);
+        if let (true, Some(shared)) = (first, self.divergence(status)) {
             let what = What::Diverged {
                 instance: id.clone(),
                 shared,
                 end: status.received,
             };
-            self.decide(what, trace, None, vec![], vec![]);
+            self.record_decision(what, trace, None, vec![], vec![]);
         }
         if first {
-            self.decide(What::Follow(id.clone()), trace, None, vec![], vec![]);
+            self.record_decision(What::Follow(id.clone()), trace, None, vec![], vec![]);
         }
-        let order = Ask::Follow {
-            term: self.lead.term,
+        let command = Command::Follow {
+            term: self.leadership.term,
             primary: primary.clone(),
         };
-        self.ask(id, order, Channel::Fresh);
+        self.send_command(id, command, Channel::Fresh);
     }
 
-    /// Last position that a log shares with the primary's, if it goes on beyond.
-    fn shared(&self, status: &Status) -> Option<Position> {
-        let primary = self.seen.get(self.lead.primary.as_ref()?)?;
+    /// Last position that a diverged log shares with the primary's log.
+    fn divergence(&self, status: &Status) -> Option<Position> {
+        let primary = self.observations.get(self.leadership.primary.as_ref()?)?;
         let later = |term: Term| {
             let starts = primary.status.history.starts().iter();
             starts
--- a/crates/policy/src/group/waiting.rs
+++ b/crates/policy/src/group/waiting.rs
@@ -1,63 +1,71 @@
-//! Requests that wait for a route. None of them has run.
+//! Requests that wait for a route. None of them has run yet.
 //!
-//! Load: when a primary fails, every writer of the fleet waits for the next one. They wait
-//! here, within their deadlines and up to the setting `queue`, and run once it leads;
-//! more would only fill memory and then the new primary. Where no change of primary can
-//! come about, a request is refused at once with the time to come back.
+//! When a primary fails, all writers of the fleet wait for the next one. Requests are
+//! queued here until their deadlines, at most as many as the setting `queue` allows, and
+//! are routed once a primary leads. More queued requests would fill the memory and then
+//! overload the new primary. When no change of primary is possible, a request is rejected
+//! at once with a time to retry.
 
 use model::id::InstanceId;
 use model::position::Point;
 use model::unit::{Span, Time};
 
 use super::Group;
-use crate::failure_detector::{DOUBT_AFTER, Verdict};
-use crate::message::{Action, Ticket};
+use crate::failure_detector::{PROBE_AFTER, Verdict};
+use crate::message::{Action, RequestId};
 use crate::read::{Choice, Pick};
 use crate::route::{Failure, ReadNeed, Refusal, Target};
 use crate::status::Role;
 
-/// Longest time that a request waits for a primary or a fresh instance. The slowest
-/// change of primary aimed at takes 3 s; after that nothing says when the next will come.
-const LONGEST: Span = Span::from_millis(3_000);
+/// Longest time that a request waits for a primary or a fresh instance. A change of primary
+/// is meant to take 3 s at most; beyond that its end is unpredictable.
+const MAX_WAIT: Span = Span::from_millis(3_000);
 
-/// Time after the start in which the instances may still be unknown.
-const STARTING: Span = Span::from_millis(1_000);
+/// Time after the start during which the instances may not have responded yet, and a
+/// majority never counts as unreachable.
+const STARTUP_PERIOD: Span = Span::from_millis(1_000);
 
-/// Silence after which an instance counts as out of reach. It is longer than a stall.
-const OUT_OF_REACH: Span = Span::from_millis(1_000);
+/// Time without a response after which an instance counts as unreachable. It is longer than
+/// a stall.
+const UNREACHABLE_AFTER: Span = Span::from_millis(1_000);
 
-/// When to try again after a refusal: most changes of primary are over within it.
+/// Delay that a rejection suggests before a retry; most changes of primary are shorter.
 const RETRY: Span = Span::from_millis(1_000);
 
 #[derive(Clone, Copy, Debug)]
-enum Want {
+enum Access {
     Write(Option<Point>),
     Read(ReadNeed),
 }
 
-/// A request without a route so far.
+/// A request that has no route yet.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Waiting {
-    ticket: Ticket,
-    want: Want,
+    request: RequestId,
+    access: Access,
     arrived: Time,
     deadline: Time,
 }
 
 impl Waiting {
-    pub(super) fn write(ticket: Ticket, point: Option<Point>, now: Time, deadline: Time) -> Self {
+    pub(super) fn write(
+        request: RequestId,
+        point: Option<Point>,
+        now: Time,
+        deadline: Time,
+    ) -> Self {
         Self {
-            ticket,
-            want: Want::Write(point),
+            request,
+            access: Access::Write(point),
             arrived: now,
             deadline,
         }
     }
 
-    pub(super) fn read(ticket: Ticket, need: ReadNeed, now: Time, deadline: Time) -> Self {
+    pub(super) fn read(request: RequestId, need: ReadNeed, now: Time, deadline: Time) -> Self {
         Self {
-            ticket,
-            want: Want::Read(need),
+            request,
+            access: Access::Read(need),
             arrived: now,
             deadline,
         }
@@ -66,56 +74,56 @@
 
 impl Group {
     pub(super) fn enqueue(&mut self, waiting: Waiting) {
-        self.used = Some(self.now);
+        self.last_request = Some(self.now);
         if self.waiting.len() >= self.spec.settings.queue as usize {
             let result = Err(Refusal::Crowded { retry: RETRY });
-            let ticket = waiting.ticket;
-            self.out.push(Action::Routed { ticket, result });
+            let request = waiting.request;
+            self.actions.push(Action::Routed { request, result });
             return;
         }
         self.waiting.push(waiting);
     }
 
-    pub(super) fn serve_waiting(&mut self) {
+    pub(super) fn route_waiting(&mut self) {
         for waiting in std::mem::take(&mut self.waiting) {
-            match self.serve(&waiting) {
+            match self.route(&waiting) {
                 None => self.waiting.push(waiting),
                 Some(result) => {
                     if let Ok(target) = &result {
                         let load = self.loads.entry(target.instance.clone()).or_default();
                         load.outstanding += 1;
                     }
-                    let ticket = waiting.ticket;
-                    self.out.push(Action::Routed { ticket, result });
+                    let request = waiting.request;
+                    self.actions.push(Action::Routed { request, result });
                 }
             }
         }
     }
 
-    fn serve(&self, waiting: &Waiting) -> Option<Result<Target, Refusal>> {
-        let served = match waiting.want {
-            Want::Write(point) => self.serve_write(point),
-            Want::Read(need) => self.serve_read(need, waiting.arrived),
+    fn route(&self, waiting: &Waiting) -> Option<Result<Target, Refusal>> {
+        let result = match waiting.access {
+            Access::Write(point) => self.route_write(point),
+            Access::Read(need) => self.route_read(need, waiting.arrived),
         };
         let waited = self.now.since(waiting.arrived);
-        let over = self.now >= waiting.deadline || waited >= LONGEST;
-        match (served, waiting.want) {
-            (None, Want::Write(_)) if over => Some(Err(Refusal::NoPrimary { retry: RETRY })),
-            (None, Want::Read(_)) if over => Some(Err(Refusal::NoneFresh { retry: RETRY })),
-            (served, _) => served,
+        let expired = self.now >= waiting.deadline || waited >= MAX_WAIT;
+        match (result, waiting.access) {
+            (None, Access::Write(_)) if expired => Some(Err(Refusal::NoPrimary { retry: RETRY })),
+            (None, Access::Read(_)) if expired => Some(Err(Refusal::NoneFresh { retry: RETRY })),
+            (result, _) => result,
         }
     }
 
-    /// A proxy that knows only an older term than the session's waits for news: under the
-    /// older term the session would not see its own writes.
-    fn serve_write(&self, point: Option<Point>) -> Option<Result<Target, Refusal>> {
-        if self.hopeless() {
+    /// Routes a write. While the session's term is newer than the known primary's, the write
+    /// waits: under the older term the session would not see its own writes.
+    fn route_write(&self, point: Option<Point>) -> Option<Result<Target, Refusal>> {
+        if self.lacks_majority() {
             return Some(Err(Refusal::NoMajority { retry: RETRY }));
         }
-        if point.is_some_and(|p| p.term > self.lead.term) {
+        if point.is_some_and(|p| p.term > self.leadership.term) {
             return None;
         }
-        let primary = self.serving()?;
+        let primary = self.usable_primary()?;
         let via = match &self.verdict {
             Verdict::Forward(peer) => Some(peer.clone()),
             _ => None,
@@ -125,94 +133,105 @@
         Some(Ok(target))
     }
 
-    /// The primary, unless it is in doubt, or something has promised a later term.
-    fn serving(&self) -> Option<&InstanceId> {
-        let primary = self.lead.primary.as_ref()?;
-        let reach = self.reach.get(primary).copied().unwrap_or_default();
-        let answers = reach.silent(self.now) < DOUBT_AFTER;
-        let forward = matches!(self.verdict, Verdict::Forward(_));
-        (self.deposed.is_none() && (answers || forward)).then_some(primary)
+    /// The primary, unless it is unresponsive and no peer reaches it, or a later term was
+    /// promised.
+    fn usable_primary(&self) -> Option<&InstanceId> {
+        let primary = self.leadership.primary.as_ref()?;
+        let reachability = self.reachability.get(primary).copied().unwrap_or_default();
+        let responds = reachability.unresponsive_for(self.now) < PROBE_AFTER;
+        let forwarded = matches!(self.verdict, Verdict::Forward(_));
+        (self.deposed_since.is_none() && (responds || forwarded)).then_some(primary)
     }
 
-    /// Whether most instances have been out of reach for so long that no write could be
-    /// confirmed and no promotion could succeed.
-    fn hopeless(&self) -> bool {
-        if self.now.since(self.started) < STARTING {
+    /// Whether so many instances are unreachable that no write can be confirmed and no
+    /// promotion can succeed.
+    fn lacks_majority(&self) -> bool {
+        if self.now.since(self.started) < STARTUP_PERIOD {
             return false;
         }
-        let lost = |id| {
-            let reach = self.reach.get(id).copied().unwrap_or_default();
-            reach.answered.is_none() || reach.silent(self.now) >= OUT_OF_REACH
+        let unreachable = |id| {
+            let reachability = self.reachability.get(id).copied().unwrap_or_default();
+            reachability.last_response.is_none()
+                || reachability.unresponsive_for(self.now) >= UNREACHABLE_AFTER
         };
-        let lost = self.spec.members.keys().filter(|id| lost(*id)).count();
-        self.spec.members.len() - lost < self.spec.majority()
+        let unreachable = self
+            .spec
+            .members
+            .keys()
+            .filter(|id| unreachable(*id))
+            .count();
+        self.spec.members.len() - unreachable < self.spec.majority()
     }
 
-    fn serve_read(&self, need: ReadNeed, arrived: Time) -> Option<Result<Target, Refusal>> {
-        // An instance that does not answer holds up a read for longer than any queue.
-        let answers = |id: &InstanceId| {
-            let reach = self.reach.get(id).copied().unwrap_or_default();
-            reach.silent(self.now) < DOUBT_AFTER
+    fn route_read(&self, need: ReadNeed, arrived: Time) -> Option<Result<Target, Refusal>> {
+        // A read on an unresponsive instance would take longer than any queue.
+        let responds = |id: &InstanceId| {
+            let reachability = self.reachability.get(id).copied().unwrap_or_default();
+            reachability.unresponsive_for(self.now) < PROBE_AFTER
         };
-        let seen = self.seen.iter().filter(|(id, _)| answers(id)).collect();
+        let seen = self
+            .observations
+            .iter()
+            .filter(|(id, _)| responds(id))
+            .collect();
         let choice = Choice {
             now: self.now,
             arrived,
             need,
-            here: &self.me.location,
+            here: &self.local_proxy.location,
             spec: &self.spec,
-            term: self.lead.term,
+            term: self.leadership.term,
             primary: self
-                .lead
+                .leadership
                 .primary
                 .as_ref()
-                .filter(|_| self.deposed.is_none()),
+                .filter(|_| self.deposed_since.is_none()),
             seen,
             loads: &self.loads,
-            fresh: &self.fresh,
+            fresh: &self.freshness,
         };
         match choice.pick() {
             Pick::Go(instance, point) => self.target(&instance, point).map(Ok),
             Pick::Forked(point) => Some(Err(Refusal::Forked { point })),
-            // In a data centre that is cut off no fresher state will arrive for now.
-            Pick::Wait if self.hopeless() => Some(Err(Refusal::NoneFresh { retry: RETRY })),
+            // A partitioned data centre receives no fresher state for now.
+            Pick::Wait if self.lacks_majority() => Some(Err(Refusal::NoneFresh { retry: RETRY })),
             Pick::Wait => None,
         }
     }
 
     fn target(&self, instance: &InstanceId, point: Point) -> Option<Target> {
         let member = self.spec.members.get(instance)?;
-        let leads = self.lead.primary.as_ref() == Some(instance);
+        let leads = self.leadership.primary.as_ref() == Some(instance);
         Some(Target {
             instance: instance.clone(),
             address: member.address,
             location: member.location.clone(),
             role: if leads { Role::Primary } else { Role::Replica },
-            term: self.lead.term,
+            term: self.leadership.term,
             via: None,
             point,
         })
     }
 
-    /// Arrival of the newest read that waits for proof, if any: instances are asked at
-    /// once, and one round of questions serves every read that arrived before it.
-    pub(super) fn wants_news(&self) -> Option<Time> {
-        let unproven = |w: &&Waiting| match w.want {
-            Want::Write(point) => point.is_some_and(|p| p.term > self.lead.term),
-            Want::Read(_) => true,
+    /// Arrival of the newest request that needs a later observation, if any. Instances are
+    /// then queried at once; one round of queries serves all requests that arrived before it.
+    pub(super) fn unproven_since(&self) -> Option<Time> {
+        let unproven = |w: &&Waiting| match w.access {
+            Access::Write(point) => point.is_some_and(|p| p.term > self.leadership.term),
+            Access::Read(_) => true,
         };
         let waiting = self.waiting.iter().filter(unproven);
         waiting.map(|w| w.arrived).max()
     }
 
-    pub(super) fn take_failed(&mut self, instance: &InstanceId, failure: Failure) {
+    pub(super) fn handle_failure(&mut self, instance: &InstanceId, failure: Failure) {
         self.loads.entry(instance.clone()).or_default().release();
         let refused = matches!(
             failure,
             Failure::Refused | Failure::Broken | Failure::ReadOnly
         );
         if refused {
-            // The next step asks every instance at once instead of after the interval.
+            // The next step queries every instance at once instead of after the interval.
             self.polls.values_mut().for_each(crate::poll::Poll::hurry);
         }
     }
--- a/crates/policy/src/promote.rs
+++ b/crates/policy/src/promote.rs
@@ -1,78 +1,81 @@
-//! One attempt to give a group its next primary.
+//! One attempt to promote the next primary of a group.
 //!
-//! Claim the next term by compare-and-swap, fence a majority at it, choose, promote,
-//! publish. Each step may be sent again without harm, and whoever finds a half-finished
-//! attempt starts one of its own under a higher term; safety rests on the claim and the
-//! fence alone, never on who is believed to coordinate.
+//! An attempt claims the next term by compare-and-swap, fences a majority of instances at
+//! that term, chooses an instance, promotes it and publishes it in the record. Each step may
+//! be repeated without harm. A proxy that finds an unfinished attempt starts its own under a
+//! higher term. Safety rests on the claim and the fence alone, not on which proxy is believed
+//! to be the coordinator.
 
 use indexmap::IndexMap;
 use model::id::{InstanceId, ProxyId};
 use model::position::{Point, Revision, Term};
 use model::unit::{Span, Time};
 
-use crate::decision::{Cause, Fact, Trace};
+use crate::decision::{Cause, Fact, TraceId};
 use crate::leadership::Record;
-use crate::message::{Ask, Query, StoreReply, StoreRequest, Versioned};
+use crate::message::{Command, QueryId, StoreReply, StoreRequest, Versioned};
 use crate::spec::Spec;
 use crate::status::Status;
 
-/// Interval at which an unanswered order to an instance is sent again.
-pub const ORDER_AGAIN: Span = Span::from_millis(100);
+/// Interval at which an unanswered command to an instance is repeated.
+pub const COMMAND_RETRY: Span = Span::from_millis(100);
 
-/// Time for an answer of the store before the request is made again. A slow store that
-/// answers later is still understood, since requests carry a nonce.
-pub const STORE_AGAIN: Span = Span::from_millis(300);
+/// Time after which an unanswered request to the store is repeated. A later reply to the
+/// first request is still accepted; the nonce in the record identifies the claim.
+pub const STORE_RETRY: Span = Span::from_millis(300);
 
-/// Time for the chosen instance to lead. Then the next term is claimed: under one term
-/// never more than one instance may be promoted, as the first may have obeyed unseen.
-const PROMOTE_WITHIN: Span = Span::from_millis(400);
+/// Time in which the chosen instance must become the primary. After it the attempt ends, and
+/// a new one claims the next term: under one term at most one instance may be promoted, as
+/// the first may have carried out the command although its response was lost.
+const PROMOTE_TIMEOUT: Span = Span::from_millis(400);
 
-/// Stage of an attempt.
+/// Step of an attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// The record is being read, to claim the term after it.
+    /// The record is being read, to claim a term above the record's.
     Reading,
-    /// The claim is under way.
+    /// The claim is sent.
     Claiming,
-    /// The claim's answer was lost; the record is being read to see whether it holds.
+    /// The reply to the claim was lost; the record is being read to find out whether the
+    /// claim took effect.
     Settling,
-    /// The term is claimed at this revision; a majority is being fenced.
+    /// The term is claimed; a majority is being fenced.
     Fencing,
-    /// This instance was told to lead.
+    /// This instance is commanded to become the primary.
     Promoting(InstanceId),
     /// This instance leads; the record is being written.
     Publishing(InstanceId),
 }
 
-/// What an attempt asks for.
+/// A request of an attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Order {
+pub enum Request {
     /// A request to the store.
     Store(StoreRequest),
-    /// An order to an instance.
-    Ask(InstanceId, Ask),
+    /// A command to an instance.
+    Instance(InstanceId, Command),
 }
 
-/// What became of a step.
+/// Outcome of a step.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Progress {
     /// The term is claimed.
     Claimed,
-    /// Another proxy's record is newer; the attempt is over.
-    Outrun(Versioned),
+    /// The record has changed since the claim was based on it; the attempt is over.
+    Superseded(Versioned),
     /// An instance promised a later term; the attempt is over.
     Fenced(InstanceId, Term),
     /// An instance was chosen among the fenced majority.
     Chosen(Choice),
-    /// The chosen instance leads.
+    /// The chosen instance is the primary.
     Promoted(InstanceId),
-    /// The chosen instance did not lead in time; the attempt is over.
+    /// The chosen instance did not become the primary in time; the attempt is over.
     TimedOut(InstanceId),
     /// The record names the primary; the attempt is over.
     Published(InstanceId, Versioned),
 }
 
-/// The chosen instance, with what spoke for it and what ruled out the others.
+/// The chosen instance, with the evidence and what ruled out the others.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Choice {
     /// The instance.
@@ -86,26 +89,26 @@
 /// An attempt under way.
 #[derive(Clone, Debug)]
 pub struct Attempt {
-    /// Why there is one.
+    /// Why the primary is replaced.
     pub cause: Cause,
-    /// Links its decisions.
-    pub trace: Trace,
-    /// What is or will be claimed.
+    /// Identifier shared by its decisions.
+    pub trace: TraceId,
+    /// The record that is or will be written by the claim.
     pub record: Record,
-    /// Stage reached.
+    /// Current step.
     pub step: Step,
-    /// When the stage began.
+    /// When the step began; `Reading` to `Settling` count as one.
     pub since: Time,
     revision: Revision,
     fenced: IndexMap<InstanceId, Status>,
-    queries: Vec<Query>,
-    asked: Option<Time>,
-    ordered: IndexMap<InstanceId, Time>,
+    queries: Vec<QueryId>,
+    store_sent: Option<Time>,
+    commanded: IndexMap<InstanceId, Time>,
 }
 
 impl Attempt {
-    /// An attempt from the newest known record, or from reading it when none is known.
-    /// `floor` is the highest term seen anywhere; the claim lies above it.
+    /// Creates an attempt based on the newest known record; if none is known, the attempt
+    /// reads it first. `floor` is the highest known term; the claimed term lies above it.
     pub fn new(
         now: Time,
         me: &ProxyId,
@@ -122,15 +125,15 @@
         };
         let mut attempt = Self {
             cause,
-            trace: Trace(nonce),
+            trace: TraceId(nonce),
             record,
             step: Step::Reading,
             since: now,
             revision: Revision(0),
             fenced: IndexMap::new(),
             queries: Vec::new(),
-            asked: None,
-            ordered: IndexMap::new(),
+            store_sent: None,
+            commanded: IndexMap::new(),
         };
         if let Some(known) = known {
             attempt.base_on(known);
@@ -143,40 +146,45 @@
         self.record.term = self.record.term.max(above);
         self.revision = known.revision;
         self.step = Step::Claiming;
-        self.asked = None;
+        self.store_sent = None;
         self.queries.clear();
     }
 
-    fn enter(&mut self, now: Time, step: Step) {
+    fn enter_step(&mut self, now: Time, step: Step) {
         self.step = step;
         self.since = now;
-        self.asked = None;
+        self.store_sent = None;
         self.queries.clear();
-        self.ordered.clear();
+        self.commanded.clear();
     }
 
-    /// Whether the claim holds, so that orders may go out under its term.
-    pub fn claimed(&self) -> bool {
+    /// Whether the claim took effect, so that commands may be sent under its term.
+    pub fn has_claim(&self) -> bool {
         !matches!(self.step, Step::Reading | Step::Claiming | Step::Settling)
     }
 
-    /// Takes in an answer of the store.
-    pub fn store(&mut self, now: Time, query: Query, answer: StoreReply) -> Option<Progress> {
+    /// Processes a reply of the store.
+    pub fn take_store_reply(
+        &mut self,
+        now: Time,
+        query: QueryId,
+        reply: StoreReply,
+    ) -> Option<Progress> {
         if !self.queries.contains(&query) {
             return None;
         }
-        match (&self.step, answer) {
+        match (&self.step, reply) {
             (Step::Reading, StoreReply::Found(found)) => {
                 self.base_on(&found);
                 None
             }
             (Step::Claiming | Step::Settling, StoreReply::Swapped(revision)) => {
-                Some(self.won(now, revision))
+                Some(self.claim_won(now, revision))
             }
             (Step::Claiming | Step::Settling, StoreReply::Found(found)) => self.settle(now, found),
             (Step::Claiming, StoreReply::Unknown) => {
                 self.step = Step::Settling;
-                self.asked = None;
+                self.store_sent = None;
                 None
             }
             (Step::Publishing(primary), StoreReply::Swapped(revision)) => {
@@ -188,26 +196,27 @@
         }
     }
 
-    fn won(&mut self, now: Time, revision: Revision) -> Progress {
+    fn claim_won(&mut self, now: Time, revision: Revision) -> Progress {
         self.revision = revision;
-        self.enter(now, Step::Fencing);
+        self.enter_step(now, Step::Fencing);
         Progress::Claimed
     }
 
-    /// A lost answer is settled by reading: the record carries the nonce of its writer.
-    /// If it is the one that the claim was based on, the claim may still be on its way;
-    /// sending it again is safe since only one of the two can meet the revision.
+    /// Determines whether the claim took effect: the record contains its writer's nonce.
+    ///
+    /// If the record is still the one that the claim was based on, the claim may still be in
+    /// transit. Repeating it is safe, since only one of the two can match the revision.
     fn settle(&mut self, now: Time, found: Versioned) -> Option<Progress> {
         let ours = found.record.as_ref().is_some_and(|r| *r == self.record);
         if ours {
-            return Some(self.won(now, found.revision));
+            return Some(self.claim_won(now, found.revision));
         }
         if found.revision == self.revision {
             self.step = Step::Claiming;
-            self.asked = None;
+            self.store_sent = None;
             return None;
         }
-        Some(Progress::Outrun(found))
+        Some(Progress::Superseded(found))
     }
 
     fn published(&self, primary: InstanceId, revision: Revision) -> Progress {
@@ -220,20 +229,20 @@
     fn check_published(&mut self, found: Versioned) -> Option<Progress> {
         let record = found.record.as_ref()?;
         if record.nonce != self.record.nonce {
-            return Some(Progress::Outrun(found));
+            return Some(Progress::Superseded(found));
         }
         match record.primary.clone() {
             Some(primary) => Some(Progress::Published(primary, found)),
             None => {
                 self.revision = found.revision;
-                self.asked = None;
+                self.store_sent = None;
                 None
             }
         }
     }
 
-    /// Takes in a status of an instance, whatever question it answers: once fenced at the
-    /// claimed term, a log stays as it is until the term has a primary.
+    /// Processes a status of an instance, whichever query it responds to: the log of an
+    /// instance fenced at the claimed term does not change until the term has a primary.
     pub fn observe(
         &mut self,
         now: Time,
@@ -241,7 +250,7 @@
         instance: &InstanceId,
         status: &Status,
     ) -> Option<Progress> {
-        if !self.claimed() {
+        if !self.has_claim() {
             return None;
         }
         if status.fenced > self.record.term {
@@ -256,7 +265,7 @@
                 if chosen == instance && status.leads() && status.term() == self.record.term =>
             {
                 let chosen = chosen.clone();
-                self.enter(now, Step::Publishing(chosen.clone()));
+                self.enter_step(now, Step::Publishing(chosen.clone()));
                 Some(Progress::Promoted(chosen))
             }
             _ => None,
@@ -270,75 +279,77 @@
             .get(&choice.instance)
             .is_some_and(|m| m.leaving);
         let complete = self.fenced.len() == spec.members.len();
-        // A planned change has the leaving primary among the first to be fenced; another
-        // answer lets one be chosen that stays.
-        if leaving && !complete && now.since(self.since) < PROMOTE_WITHIN {
+        // In a planned change the leaving primary is usually among the first fenced instances;
+        // waiting for another response allows the choice of an instance that stays.
+        if leaving && !complete && now.since(self.since) < PROMOTE_TIMEOUT {
             return None;
         }
-        self.enter(now, Step::Promoting(choice.instance.clone()));
+        self.enter_step(now, Step::Promoting(choice.instance.clone()));
         Some(Progress::Chosen(choice))
     }
 
-    /// What is to be sent now; the caller names store requests by `note_store`.
-    pub fn orders(&mut self, now: Time, spec: &Spec) -> Vec<Order> {
+    /// Requests to send now; after a request to the store the caller calls `store_queried`.
+    pub fn requests(&mut self, now: Time, spec: &Spec) -> Vec<Request> {
         match self.step.clone() {
-            Step::Reading | Step::Settling => self.ask_store(now, StoreRequest::Read),
-            Step::Claiming => self.ask_swap(now, None),
+            Step::Reading | Step::Settling => self.query_store(now, StoreRequest::Read),
+            Step::Claiming => self.swap(now, None),
             Step::Fencing => {
                 let members = spec.members.keys();
-                let left = members.filter(|m| !self.fenced.contains_key(*m));
-                let left: Vec<_> = left.cloned().collect();
-                let fence = Ask::Fence(self.record.term);
-                let due = left.into_iter().filter(|m| self.order_due(now, m));
+                let unfenced = members.filter(|m| !self.fenced.contains_key(*m));
+                let unfenced: Vec<_> = unfenced.cloned().collect();
+                let fence = Command::Fence(self.record.term);
+                let due = unfenced.into_iter().filter(|m| self.command_due(now, m));
                 let due: Vec<_> = due.collect();
                 due.into_iter()
-                    .map(|m| self.order(now, m, fence.clone()))
+                    .map(|m| self.command(now, m, fence.clone()))
                     .collect()
             }
-            Step::Promoting(chosen) if self.order_due(now, &chosen) => {
-                vec![self.order(now, chosen, Ask::Promote(self.record.term))]
+            Step::Promoting(chosen) if self.command_due(now, &chosen) => {
+                vec![self.command(now, chosen, Command::Promote(self.record.term))]
             }
             Step::Promoting(_) => Vec::new(),
-            Step::Publishing(primary) => self.ask_swap(now, Some(primary)),
+            Step::Publishing(primary) => self.swap(now, Some(primary)),
         }
     }
 
-    fn ask_swap(&self, now: Time, primary: Option<InstanceId>) -> Vec<Order> {
+    fn swap(&self, now: Time, primary: Option<InstanceId>) -> Vec<Request> {
         let mut record = self.record.clone();
         record.primary = primary;
         let expected = self.revision;
-        self.ask_store(now, StoreRequest::Swap { expected, record })
+        self.query_store(now, StoreRequest::Swap { expected, record })
     }
 
-    fn ask_store(&self, now: Time, ask: StoreRequest) -> Vec<Order> {
-        let open = self.asked.is_some_and(|at| now.since(at) < STORE_AGAIN);
-        if open {
+    fn query_store(&self, now: Time, request: StoreRequest) -> Vec<Request> {
+        let waiting = self
+            .store_sent
+            .is_some_and(|at| now.since(at) < STORE_RETRY);
+        if waiting {
             Vec::new()
         } else {
-            vec![Order::Store(ask)]
+            vec![Request::Store(request)]
         }
     }
 
-    /// Notes the name that a store request went out under.
-    pub fn note_store(&mut self, now: Time, query: Query) {
+    /// Records the id of a sent request to the store.
+    pub fn store_queried(&mut self, now: Time, query: QueryId) {
         self.queries.push(query);
-        self.asked = Some(now);
+        self.store_sent = Some(now);
     }
 
-    fn order_due(&self, now: Time, instance: &InstanceId) -> bool {
-        let last = self.ordered.get(instance);
-        last.is_none_or(|at| now.since(*at) >= ORDER_AGAIN)
+    fn command_due(&self, now: Time, instance: &InstanceId) -> bool {
+        let last = self.commanded.get(instance);
+        last.is_none_or(|at| now.since(*at) >= COMMAND_RETRY)
     }
 
-    fn order(&mut self, now: Time, instance: InstanceId, ask: Ask) -> Order {
-        self.ordered.insert(instance.clone(), now);
-        Order::Ask(instance, ask)
+    fn command(&mut self, now: Time, instance: InstanceId, command: Command) -> Request {
+        self.commanded.insert(instance.clone(), now);
+        Request::Instance(instance, command)
     }
 
-    /// Whether the chosen instance took too long.
+    /// Whether the promotion of the chosen instance timed out.
     pub fn timed_out(&self, now: Time) -> Option<Progress> {
         match &self.step {
-            Step::Promoting(chosen) if now.since(self.since) >= PROMOTE_WITHIN => {
+            Step::Promoting(chosen) if now.since(self.since) >= PROMOTE_TIMEOUT => {
                 Some(Progress::TimedOut(chosen.clone()))
             }
             _ => None,
@@ -348,10 +359,10 @@
 
 /// Chooses the next primary among fenced instances.
 ///
-/// An acknowledged record is held by a majority, so any majority has an instance with it.
-/// An instance is safe when a majority of logs, its own included, end no later than its
-/// log does. Among the safe ones those that stay in service go first, then the longest
-/// log, then the order of declaration.
+/// An acknowledged record is held by a majority, so any majority contains an instance that
+/// holds it. An instance is safe to promote when a majority of logs, its own included, end no
+/// later than its log. Among the safe instances, those that are not leaving are preferred,
+/// then the one with the newest end of its log, then the first declared.
 pub fn choose(spec: &Spec, fenced: &IndexMap<InstanceId, Status>) -> Option<Choice> {
     let safe = |end: Point| fenced.values().filter(|s| s.end() <= end).count() >= spec.majority();
     let mut best: Option<(&InstanceId, (bool, Point))> = None;
--- a/crates/policy/tests/failover/fake/fault.rs
+++ b/crates/policy/tests/failover/fake/fault.rs
@@ -1,58 +1,59 @@
-//! Faults that begin and end.
+//! Injection of faults.
 
 use super::{SITES, World};
 
-/// A fault as it is asked for.
+/// A fault to inject.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Fault {
-    /// The process of an instance is gone; its log is kept.
+    /// The process of an instance is down; its log is kept.
     Down(usize),
-    /// An instance does nothing, and goes on later where it stopped.
+    /// The process of an instance is paused, and continues when the fault ends.
     Freeze(usize),
-    /// A data centre reaches no other.
-    Isolate(usize),
-    /// An instance reaches nobody but the proxies of its own data centre.
-    Shut(usize),
-    /// Two data centres do not reach each other.
-    Cut(usize, usize),
-    /// The same for whichever instance leads when the fault begins.
+    /// A data centre is partitioned from all others.
+    IsolateSite(usize),
+    /// An instance reaches only the proxies of its own data centre.
+    IsolateInstance(usize),
+    /// Two data centres are partitioned from each other.
+    Partition(usize, usize),
+    /// The same faults for the instance that leads when the fault begins.
     DownLeader,
     FreezeLeader,
-    IsolateLeader,
-    ShutLeader,
-    /// A proxy does nothing, and then takes in at once all that came meanwhile.
+    IsolateLeaderSite,
+    IsolateLeaderInstance,
+    /// A proxy is paused, and processes all queued input when the fault ends.
     Pause(usize),
-    /// A proxy is gone, and a new one takes its place in the end.
+    /// A proxy is killed, and a new one replaces it when the fault ends.
     Kill(usize),
-    /// A proxy takes itself for the only one, and so coordinates whatever others do.
-    Alone(usize),
+    /// The membership shows a proxy no other live proxy, so that it has the first rank and
+    /// coordinates whatever the others do.
+    SeesNoPeers(usize),
     /// An instance is declared to be leaving.
     Leaving(usize),
-    /// The store takes no request.
+    /// The store processes no request.
     StoreDown,
-    /// Percent of the store's answers that are lost after taking effect.
-    LoseAnswers(u32),
-    /// Percent of messages that are lost, and doubled.
+    /// Percentage of requests to the store that take effect but whose reply is lost.
+    LoseReplies(u32),
+    /// Percentage of messages that are lost, and of messages that are duplicated.
     Loss(u32),
-    /// Milliseconds by which messages are delayed and reordered.
+    /// Largest extra delay of a message in milliseconds; it reorders messages.
     Jitter(u64),
-    /// Records that a replica takes in a tick, at most.
-    Copy(u64),
+    /// Largest number of records that a replica receives in one tick.
+    ReplicationLimit(u64),
 }
 
 impl World {
-    /// Begins a fault. One that meets the leader stays with that instance.
+    /// Begins a fault. A fault of the leader stays on that instance after a change of primary.
     pub(crate) fn begin(&mut self, fault: Fault) {
         let leader = self.leader();
         let fault = match fault {
             Fault::DownLeader => Fault::Down(leader),
             Fault::FreezeLeader => Fault::Freeze(leader),
-            Fault::IsolateLeader => Fault::Isolate(leader),
-            Fault::ShutLeader => Fault::Shut(leader),
+            Fault::IsolateLeaderSite => Fault::IsolateSite(leader),
+            Fault::IsolateLeaderInstance => Fault::IsolateInstance(leader),
             fault => fault,
         };
         self.faults.push(fault);
-        self.put_in_force();
+        self.apply_faults();
         if let Fault::Kill(at) = fault {
             self.kill_proxy(at);
         }
@@ -61,17 +62,17 @@
     pub(crate) fn end_oldest(&mut self) {
         if !self.faults.is_empty() {
             self.faults.remove(0);
-            self.put_in_force();
+            self.apply_faults();
         }
     }
 
     pub(crate) fn end_all(&mut self) {
         self.faults.clear();
-        self.put_in_force();
+        self.apply_faults();
     }
 
-    /// Makes the world as faulty as the list of faults says.
-    fn put_in_force(&mut self) {
+    /// Brings the world into the state that the active faults describe.
+    fn apply_faults(&mut self) {
         let has = |fault| self.faults.contains(&fault);
         let up: Vec<_> = (0..SITES).map(|at| !has(Fault::Down(at))).collect();
         let frozen: Vec<_> = (0..SITES).map(|at| has(Fault::Freeze(at))).collect();
@@ -79,23 +80,28 @@
             (instance.up, instance.frozen) = (up[at], frozen[at]);
         }
         self.store.down = self.faults.contains(&Fault::StoreDown);
-        (self.store.lose, self.loss, self.jitter, self.copy) = (0, 0, 2, 8);
-        self.cuts.clear();
+        (
+            self.store.lose_replies,
+            self.loss,
+            self.jitter,
+            self.replication_limit,
+        ) = (0, 0, 2, 8);
+        self.partitions.clear();
         for fault in self.faults.clone() {
             match fault {
-                Fault::Isolate(site) => self.isolate(site),
-                Fault::Cut(a, b) => self.cut(a, b),
-                Fault::LoseAnswers(percent) => self.store.lose = percent,
+                Fault::IsolateSite(site) => self.isolate(site),
+                Fault::Partition(a, b) => self.partition(a, b),
+                Fault::LoseReplies(percent) => self.store.lose_replies = percent,
                 Fault::Loss(percent) => self.loss = percent,
                 Fault::Jitter(ms) => self.jitter = ms,
-                Fault::Copy(most) => self.copy = most,
+                Fault::ReplicationLimit(limit) => self.replication_limit = limit,
                 _ => {}
             }
         }
         for at in 0..SITES {
-            self.leave(at, self.faults.contains(&Fault::Leaving(at)));
+            self.set_leaving(at, self.faults.contains(&Fault::Leaving(at)));
         }
-        self.membership();
+        self.publish_membership();
         for at in 0..self.proxies.len() {
             let paused = self.faults.contains(&Fault::Pause(at));
             if self.proxies[at].paused && !paused {
--- a/crates/policy/tests/failover/fake/instance.rs
+++ b/crates/policy/tests/failover/fake/instance.rs
@@ -1,8 +1,8 @@
-//! A backend server that keeps a log and obeys replication orders.
+//! A backend server with a log that carries out replication commands.
 
 use model::position::{History, Point, Position, Term};
 use model::unit::Time;
-use policy::message::Ask;
+use policy::message::Command;
 use policy::route::Failure;
 use policy::status::{Role, Status};
 
@@ -20,7 +20,7 @@
     pub(crate) log: Vec<Record>,
     pub(crate) applied: usize,
     pub(crate) follows: Option<usize>,
-    pub(crate) heard: Time,
+    pub(crate) last_contact: Time,
 }
 
 impl Instance {
@@ -40,11 +40,11 @@
             log: Vec::new(),
             applied: 0,
             follows: (!primary).then_some(0),
-            heard: Time::default(),
+            last_contact: Time::default(),
         }
     }
 
-    pub(crate) fn runs(&self) -> bool {
+    pub(crate) fn is_running(&self) -> bool {
         self.up && !self.frozen
     }
 
@@ -60,39 +60,39 @@
             history: self.history.clone(),
             received: self.end(),
             applied: Position(self.applied as u64),
-            heard: if primary {
+            contact_age: if primary {
                 Default::default()
             } else {
-                now.since(self.heard)
+                now.since(self.last_contact)
             },
         }
     }
 
-    /// Carries out an order; waits answer at once, which is allowed.
-    pub(crate) fn take(&mut self, now: Time, ask: &Ask) -> Result<Status, Failure> {
-        match ask {
-            Ask::Status | Ask::Wait { .. } => {}
-            Ask::Fence(term) => self.fenced = self.fenced.max(*term),
-            Ask::Promote(term) if *term == self.fenced => {
+    /// Carries out a command. A wait returns at once, which the protocol allows.
+    pub(crate) fn handle(&mut self, now: Time, command: &Command) -> Result<Status, Failure> {
+        match command {
+            Command::Status | Command::Wait { .. } => {}
+            Command::Fence(term) => self.fenced = self.fenced.max(*term),
+            Command::Promote(term) if *term == self.fenced => {
                 self.role = Role::Primary;
                 self.follows = None;
                 self.term = *term;
                 self.history.begin(*term, self.end());
                 self.applied = self.log.len();
             }
-            Ask::Follow { term, primary } if *term >= self.fenced => {
+            Command::Follow { term, primary } if *term >= self.fenced => {
                 self.fenced = *term;
                 self.term = *term;
                 self.role = Role::Replica;
                 self.follows = primary.as_str()[1..].parse().ok();
-                self.heard = now;
+                self.last_contact = now;
             }
-            Ask::Promote(_) | Ask::Follow { .. } => return Err(Failure::Protocol),
+            Command::Promote(_) | Command::Follow { .. } => return Err(Failure::Protocol),
         }
         Ok(self.status(now))
     }
 
-    /// Commits a write, if it may.
+    /// Commits a write, if the instance is a primary without a later promise.
     pub(crate) fn write(&mut self, write: u64) -> Option<Point> {
         if self.role != Role::Primary || self.fenced > self.term {
             return None;
@@ -105,12 +105,12 @@
         })
     }
 
-    /// Takes up to `most` records from its primary, and drops what that one does not have.
-    pub(crate) fn copy(&mut self, now: Time, primary: &Self, most: usize) {
+    /// Copies up to `limit` records from its primary, and drops those that the primary lacks.
+    pub(crate) fn replicate_from(&mut self, now: Time, primary: &Self, limit: usize) {
         if primary.role != Role::Primary || primary.term != self.term {
             return;
         }
-        self.heard = now;
+        self.last_contact = now;
         if self.fenced > primary.term {
             return;
         }
@@ -118,7 +118,7 @@
         let shared = pairs.take_while(|(a, b)| a == b).count();
         self.log.truncate(shared);
         self.applied = self.applied.min(shared);
-        let more = primary.log[shared..].iter().take(most);
+        let more = primary.log[shared..].iter().take(limit);
         self.log.extend(more);
         let end = self.end();
         let starts = primary.history.starts().iter();
@@ -126,7 +126,7 @@
         self.history = History::new(reached).unwrap();
     }
 
-    pub(crate) fn apply(&mut self, most: usize) {
-        self.applied = self.log.len().min(self.applied + most);
+    pub(crate) fn apply(&mut self, limit: usize) {
+        self.applied = self.log.len().min(self.applied + limit);
     }
 }
--- a/crates/policy/tests/failover/fake/mod.rs
+++ b/crates/policy/tests/failover/fake/mod.rs
@@ -1,7 +1,8 @@
-//! Small fakes of a database group, the store and the network, around real controllers.
+//! Small fakes of a database group, the store and the network for the real controllers.
 //!
-//! One step of [`World`] moves time by [`TICK`], delivers what is due and ticks every
-//! proxy. Everything random comes from one seed.
+//! One step of [`World`] advances the time by [`TICK`], delivers the messages that are due
+//! and replicates; proxies are ticked every [`PROXY_TICK`]. All randomness comes from one
+//! seed.
 
 pub(crate) mod caller;
 pub(crate) mod fault;
@@ -17,55 +18,55 @@
 use model::id::{GroupId, InstanceId};
 use model::settings::{Acknowledge, Settings};
 use model::unit::{Span, Time};
-use policy::message::{Ask, PeerReport, Query, StoreReply, StoreRequest};
+use policy::message::{Command, PeerReport, QueryId, StoreReply, StoreRequest};
 use policy::route::Failure;
 use policy::status::{Role, Status};
 use rand::rngs::SmallRng;
 use rand::{Rng as _, SeedableRng as _};
 
-use caller::{Exec, Executed, Marks};
+use caller::{Executed, Requirement, Statement};
 use fault::Fault;
 use instance::Instance;
 use oracle::Oracle;
 use proxy::Proxy;
 use store::Store;
 
-/// Time of one step of the world.
+/// Duration of one step of the world.
 pub(crate) const TICK: Span = Span::from_millis(2);
 
 /// Interval at which a proxy's controllers are stepped without an event.
 const PROXY_TICK: Span = Span::from_millis(10);
 
-/// Data centre of the store; the first primary is in another.
+/// Data centre of the store; the first primary runs in another one.
 pub(crate) const STORE_SITE: usize = 1;
 
-/// Data centres; the first two share a region.
+/// Number of data centres; the first two are in one region.
 pub(crate) const SITES: usize = 3;
 
-/// Who a proxy process is: its place in the list and which start of it.
-pub(crate) type Who = (usize, u64);
+/// A proxy process: its index in the list, and how often it was restarted.
+pub(crate) type ProxyProcess = (usize, u64);
 
-/// A message on its way.
+/// A message between processes.
 #[derive(Clone, Debug)]
 pub(crate) enum Message {
-    Ask(Who, Query, usize, Ask),
-    Answer(Who, Query, Result<Status, Failure>),
-    StoreRequest(Who, Query, StoreRequest),
-    StoreReply(Who, Query, StoreReply),
-    View(usize, PeerReport),
-    Exec(Exec),
+    Command(ProxyProcess, QueryId, usize, Command),
+    Response(ProxyProcess, QueryId, Result<Status, Failure>),
+    StoreRequest(ProxyProcess, QueryId, StoreRequest),
+    StoreReply(ProxyProcess, QueryId, StoreReply),
+    Report(usize, PeerReport),
+    Statement(Statement),
     Executed(Executed),
 }
 
 #[derive(Clone, Debug)]
-struct Flight {
+struct Envelope {
     due: Time,
     from: usize,
     to: usize,
     message: Message,
 }
 
-/// The whole of it.
+/// The simulated system.
 pub(crate) struct World {
     pub(crate) now: Time,
     pub(crate) rng: SmallRng,
@@ -76,15 +77,15 @@
     pub(crate) store: Store,
     pub(crate) oracle: Oracle,
     pub(crate) faults: Vec<Fault>,
-    /// Pairs of sites that do not reach each other.
-    pub(crate) cuts: BTreeSet<(usize, usize)>,
-    /// Percent of messages that are lost, and as many that are doubled.
+    /// Pairs of sites that are partitioned from each other.
+    pub(crate) partitions: BTreeSet<(usize, usize)>,
+    /// Percentage of messages that are lost, and as many that are duplicated.
     pub(crate) loss: u32,
-    /// Most extra delay of a message, in milliseconds; it reorders them.
+    /// Largest extra delay of a message in milliseconds; it reorders messages.
     pub(crate) jitter: u64,
-    /// Records that a replica takes in one tick, at most; 0 stops replication.
-    pub(crate) copy: u64,
-    flights: Vec<Flight>,
+    /// Largest number of records that a replica receives in one tick; 0 stops replication.
+    pub(crate) replication_limit: u64,
+    in_flight: Vec<Envelope>,
 }
 
 pub(crate) fn instance_id(at: usize) -> InstanceId {
@@ -120,7 +121,7 @@
 }
 
 impl World {
-    /// A healthy fleet of `proxies` proxies, after it has settled.
+    /// Creates a healthy fleet of `proxies` proxies and runs it until it is stable.
     pub(crate) fn new(seed: u64, proxies: usize, acknowledge: Acknowledge) -> Self {
         let mut world = Self {
             now: Time::from_millis(1),
@@ -132,11 +133,11 @@
             store: Store::default(),
             oracle: Oracle::default(),
             faults: Vec::new(),
-            cuts: BTreeSet::new(),
+            partitions: BTreeSet::new(),
             loss: 0,
             jitter: 2,
-            copy: 8,
-            flights: Vec::new(),
+            replication_limit: 8,
+            in_flight: Vec::new(),
         };
         for at in 0..proxies {
             world.start_proxy(at);
@@ -145,7 +146,7 @@
         world
     }
 
-    /// Lets `ms` milliseconds pass.
+    /// Runs for `ms` milliseconds.
     pub(crate) fn run(&mut self, ms: u64) {
         let end = self.now + Span::from_millis(ms);
         while self.now < end {
@@ -158,7 +159,7 @@
         }
     }
 
-    /// Lets `ms` milliseconds pass while callers write and read through every proxy.
+    /// Runs for `ms` milliseconds while callers write and read through every proxy.
     pub(crate) fn traffic(&mut self, ms: u64) {
         let end = self.now + Span::from_millis(ms);
         while self.now < end {
@@ -168,22 +169,22 @@
                 0 | 1 => {
                     self.write(proxy, session);
                 }
-                2 => self.read(proxy, session, Marks::Token),
-                3 => self.read(proxy, session, Marks::Nothing),
-                _ => self.read(proxy, session, Marks::Age(500)),
+                2 => self.read(proxy, session, Requirement::Token),
+                3 => self.read(proxy, session, Requirement::Unstated),
+                _ => self.read(proxy, session, Requirement::MaxAge(500)),
             }
             self.run(20);
         }
     }
 
-    pub(crate) fn cut(&mut self, a: usize, b: usize) {
-        self.cuts.insert((a.min(b), a.max(b)));
+    pub(crate) fn partition(&mut self, a: usize, b: usize) {
+        self.partitions.insert((a.min(b), a.max(b)));
     }
 
-    /// Cuts a data centre off from all others.
+    /// Partitions a data centre from all others.
     pub(crate) fn isolate(&mut self, site: usize) {
         for other in (0..SITES).filter(|s| *s != site) {
-            self.cut(site, other);
+            self.partition(site, other);
         }
     }
 
@@ -196,8 +197,8 @@
             .map_or(0, |(at, _)| at)
     }
 
-    pub(crate) fn open(&self, a: usize, b: usize) -> bool {
-        !self.cuts.contains(&(a.min(b), a.max(b)))
+    pub(crate) fn connected(&self, a: usize, b: usize) -> bool {
+        !self.partitions.contains(&(a.min(b), a.max(b)))
     }
 
     pub(crate) fn send(&mut self, from: usize, to: usize, message: Message) {
@@ -214,7 +215,7 @@
         let far = (from == 2) != (to == 2);
         let base = if far { 20_000 } else { 1_000 };
         let extra = self.rng.random_range(0..=self.jitter * 1_000);
-        self.flights.push(Flight {
+        self.in_flight.push(Envelope {
             due: self.now + Span::from_micros(base + extra),
             from,
             to,
@@ -224,64 +225,68 @@
 
     fn deliver(&mut self) {
         let now = self.now;
-        let (mut due, later): (Vec<_>, Vec<_>) = std::mem::take(&mut self.flights)
+        let (mut due, later): (Vec<_>, Vec<_>) = std::mem::take(&mut self.in_flight)
             .into_iter()
             .partition(|f| f.due <= now);
-        self.flights = later;
+        self.in_flight = later;
         due.sort_by_key(|f| f.due);
-        for flight in due {
-            if self.open(flight.from, flight.to) && !self.shut_out(&flight) {
-                self.receive(flight);
+        for envelope in due {
+            if self.connected(envelope.from, envelope.to) && !self.is_blocked(&envelope) {
+                self.receive(envelope);
             }
         }
     }
 
-    /// Whether a message is for an instance that only its own data centre reaches.
-    fn shut_out(&self, flight: &Flight) -> bool {
-        let at = match &flight.message {
-            Message::Ask(_, _, at, _) => *at,
-            Message::Exec(exec) => exec.instance,
+    /// Whether a message from another data centre is for an isolated instance.
+    fn is_blocked(&self, envelope: &Envelope) -> bool {
+        let at = match &envelope.message {
+            Message::Command(_, _, at, _) => *at,
+            Message::Statement(statement) => statement.instance,
             _ => return false,
         };
-        flight.from != at && self.faults.contains(&Fault::Shut(at))
+        envelope.from != at && self.faults.contains(&Fault::IsolateInstance(at))
     }
 
-    fn receive(&mut self, flight: Flight) {
-        let held = match &flight.message {
-            Message::Ask(_, _, at, _) => self.instances[*at].frozen,
-            Message::Exec(exec) => self.instances[exec.instance].frozen,
+    fn receive(&mut self, envelope: Envelope) {
+        let frozen = match &envelope.message {
+            Message::Command(_, _, at, _) => self.instances[*at].frozen,
+            Message::Statement(statement) => self.instances[statement.instance].frozen,
             _ => false,
         };
-        if held {
-            // A frozen process answers once it goes on.
-            self.flights.push(flight);
+        if frozen {
+            // A frozen process responds once it continues.
+            self.in_flight.push(envelope);
             return;
         }
-        match flight.message {
-            Message::Ask(who, query, at, ask) => self.answer(who, query, at, &ask),
-            Message::Answer(who, query, result) => self.answered(who, query, result),
-            Message::StoreRequest(who, query, ask) => self.answer_store(who, query, ask),
-            Message::StoreReply(who, query, answer) => self.store_answered(who, query, answer),
-            Message::View(at, view) => self.viewed(at, view),
-            Message::Exec(exec) => self.execute(exec),
-            Message::Executed(done) => self.executed(done),
+        match envelope.message {
+            Message::Command(proxy, id, at, command) => self.run_command(proxy, id, at, &command),
+            Message::Response(proxy, query, result) => self.respond(proxy, query, result),
+            Message::StoreRequest(proxy, query, request) => self.query_store(proxy, query, request),
+            Message::StoreReply(proxy, query, reply) => self.store_replied(proxy, query, reply),
+            Message::Report(at, report) => self.report_received(at, report),
+            Message::Statement(statement) => self.execute(statement),
+            Message::Executed(executed) => self.executed(executed),
         }
     }
 
-    fn answer(&mut self, who: Who, query: Query, at: usize, ask: &Ask) {
+    fn run_command(&mut self, proxy: ProxyProcess, query: QueryId, at: usize, command: &Command) {
         let now = self.now;
-        let home = self.proxies[who.0].site;
+        let home = self.proxies[proxy.0].site;
         if !self.instances[at].up {
-            return self.send(at, home, Message::Answer(who, query, Err(Failure::Refused)));
+            return self.send(
+                at,
+                home,
+                Message::Response(proxy, query, Err(Failure::Refused)),
+            );
         }
-        let result = self.instances[at].take(now, ask);
-        self.send(at, home, Message::Answer(who, query, result));
+        let result = self.instances[at].handle(now, command);
+        self.send(at, home, Message::Response(proxy, query, result));
     }
 
-    fn answer_store(&mut self, who: Who, query: Query, ask: StoreRequest) {
-        let home = self.proxies[who.0].site;
-        if let Some(answer) = self.store.take(ask, &mut self.rng) {
-            self.send(STORE_SITE, home, Message::StoreReply(who, query, answer));
+    fn query_store(&mut self, proxy: ProxyProcess, query: QueryId, request: StoreRequest) {
+        let home = self.proxies[proxy.0].site;
+        if let Some(reply) = self.store.handle(request, &mut self.rng) {
+            self.send(STORE_SITE, home, Message::StoreReply(proxy, query, reply));
         }
     }
 
@@ -290,14 +295,16 @@
             let Some(primary) = self.instances[at].follows else {
                 continue;
             };
-            let both = [at, primary].iter().all(|i| self.instances[*i].runs());
-            let most = self.rng.random_range(0..=self.copy) as usize;
-            let shut = |at| self.faults.contains(&Fault::Shut(at));
-            if both && self.open(at, primary) && !shut(at) && !shut(primary) {
+            let both = [at, primary]
+                .iter()
+                .all(|i| self.instances[*i].is_running());
+            let limit = self.rng.random_range(0..=self.replication_limit) as usize;
+            let isolated = |at| self.faults.contains(&Fault::IsolateInstance(at));
+            if both && self.connected(at, primary) && !isolated(at) && !isolated(primary) {
                 let source = self.instances[primary].clone();
-                self.instances[at].copy(self.now, &source, most);
+                self.instances[at].replicate_from(self.now, &source, limit);
             }
-            self.instances[at].apply(self.rng.random_range(0..=self.copy) as usize);
+            self.instances[at].apply(self.rng.random_range(0..=self.replication_limit) as usize);
         }
     }
 }
--- a/crates/policy/tests/failover/fake/proxy.rs
+++ b/crates/policy/tests/failover/fake/proxy.rs
@@ -1,18 +1,18 @@
-//! A proxy process around the real decisions.
+//! A proxy process with the real controllers.
 
 use std::sync::Arc;
 
 use model::id::ProxyId;
 use model::location::Location;
-use policy::message::{Action, Event, Peer, PeerReport, Query, Recipients, StoreReply};
+use policy::message::{Action, Event, Peer, PeerReport, QueryId, Recipients, StoreReply};
 use policy::node::{Input, Node};
 use policy::route::Failure;
-use policy::spec::Me;
+use policy::spec::LocalProxy;
 use policy::status::Status;
 use rand::Rng as _;
 
 use super::fault::Fault;
-use super::{Message, SITES, STORE_SITE, Who, World};
+use super::{Message, ProxyProcess, SITES, STORE_SITE, World};
 
 pub(crate) struct Proxy {
     pub(crate) site: usize,
@@ -26,12 +26,12 @@
 }
 
 impl World {
-    /// Starts a proxy anew, with a new id and an empty memory.
+    /// Starts or restarts a proxy with a new id and without any state.
     pub(crate) fn start_proxy(&mut self, at: usize) {
         let site = at % SITES;
         let start = self.proxies.get(at).map_or(0, |p| p.start + 1);
         let id: ProxyId = format!("p{at}-{start}").parse().unwrap();
-        let me = Me {
+        let me = LocalProxy {
             id: id.clone(),
             location: self.location(site),
         };
@@ -51,11 +51,11 @@
             self.proxies.push(proxy);
         }
         self.input(at, Input::Configure(self.fleet.clone()));
-        self.membership();
+        self.publish_membership();
     }
 
-    /// Declares whether an instance is leaving, in force on every proxy.
-    pub(crate) fn leave(&mut self, instance: usize, leaving: bool) {
+    /// Sets whether an instance is leaving in the configuration of every proxy.
+    pub(crate) fn set_leaving(&mut self, instance: usize, leaving: bool) {
         let declared = &self.fleet.groups[&self.group].instances[instance];
         if declared.leaving == leaving {
             return;
@@ -70,7 +70,7 @@
 
     pub(crate) fn kill_proxy(&mut self, at: usize) {
         self.proxies[at].alive = false;
-        self.membership();
+        self.publish_membership();
     }
 
     pub(crate) fn resume_proxy(&mut self, at: usize) {
@@ -85,7 +85,7 @@
         self.fleet.location(&centre).unwrap()
     }
 
-    pub(crate) fn membership(&mut self) {
+    pub(crate) fn publish_membership(&mut self) {
         let live = self.proxies.iter().filter(|p| p.alive);
         let live: Vec<_> = live
             .map(|p| Peer {
@@ -94,8 +94,8 @@
             })
             .collect();
         for at in 0..self.proxies.len() {
-            let alone = self.faults.contains(&Fault::Alone(at));
-            let known = if alone { Vec::new() } else { live.clone() };
+            let no_peers = self.faults.contains(&Fault::SeesNoPeers(at));
+            let known = if no_peers { Vec::new() } else { live.clone() };
             self.input(at, Input::Peers(known));
         }
     }
@@ -115,7 +115,7 @@
             return;
         }
         for output in proxy.node.step(self.now, input) {
-            self.act(at, output.action);
+            self.perform(at, output.action);
         }
     }
 
@@ -127,30 +127,34 @@
         }
     }
 
-    fn act(&mut self, at: usize, action: Action) {
+    fn perform(&mut self, at: usize, action: Action) {
         let site = self.proxies[at].site;
-        let who = (at, self.proxies[at].start);
+        let proxy = (at, self.proxies[at].start);
         match action {
-            Action::Ask {
+            Action::Command {
                 query,
                 instance,
-                ask,
+                command,
                 ..
             } => {
                 let to = instance.as_str()[1..].parse().unwrap();
-                self.send(site, to, Message::Ask(who, query, to, ask));
+                self.send(site, to, Message::Command(proxy, query, to, command));
             }
-            Action::Store { query, ask } => {
-                self.send(site, STORE_SITE, Message::StoreRequest(who, query, ask));
+            Action::Store { query, request } => {
+                self.send(
+                    site,
+                    STORE_SITE,
+                    Message::StoreRequest(proxy, query, request),
+                );
             }
-            Action::Tell { to, view } => self.tell(at, &to, &view),
-            Action::Routed { ticket, result } => self.routed(who, ticket, result),
-            Action::Confirmed { ticket, result } => self.confirmed(who, ticket, result),
+            Action::Send { to, report } => self.send_report(at, &to, &report),
+            Action::Routed { request, result } => self.routed(proxy, request, result),
+            Action::Confirmed { request, result } => self.confirmed(proxy, request, result),
             Action::Decided(decision) => self.proxies[at].decisions.push(decision),
         }
     }
 
-    fn tell(&mut self, from: usize, to: &Recipients, view: &PeerReport) {
+    fn send_report(&mut self, from: usize, to: &Recipients, report: &PeerReport) {
         for at in 0..self.proxies.len() {
             let meant = match to {
                 Recipients::All => at != from,
@@ -158,28 +162,33 @@
             };
             if meant {
                 let (a, b) = (self.proxies[from].site, self.proxies[at].site);
-                self.send(a, b, Message::View(at, view.clone()));
+                self.send(a, b, Message::Report(at, report.clone()));
             }
         }
     }
 
-    pub(crate) fn viewed(&mut self, at: usize, view: PeerReport) {
-        self.event(at, Event::Peer(view));
+    pub(crate) fn report_received(&mut self, at: usize, report: PeerReport) {
+        self.event(at, Event::PeerReport(report));
     }
 
-    fn current(&self, who: Who) -> bool {
-        self.proxies[who.0].start == who.1
+    fn is_current(&self, proxy: ProxyProcess) -> bool {
+        self.proxies[proxy.0].start == proxy.1
     }
 
-    pub(crate) fn answered(&mut self, who: Who, query: Query, result: Result<Status, Failure>) {
-        if self.current(who) {
-            self.event(who.0, Event::Answer { query, result });
+    pub(crate) fn respond(
+        &mut self,
+        proxy: ProxyProcess,
+        query: QueryId,
+        result: Result<Status, Failure>,
+    ) {
+        if self.is_current(proxy) {
+            self.event(proxy.0, Event::Response { query, result });
         }
     }
 
-    pub(crate) fn store_answered(&mut self, who: Who, query: Query, answer: StoreReply) {
-        if self.current(who) {
-            self.event(who.0, Event::Store { query, answer });
+    pub(crate) fn store_replied(&mut self, proxy: ProxyProcess, query: QueryId, reply: StoreReply) {
+        if self.is_current(proxy) {
+            self.event(proxy.0, Event::Store { query, reply });
         }
     }
 }
--- a/crates/policy/tests/failover/fake/store.rs
+++ b/crates/policy/tests/failover/fake/store.rs
@@ -1,4 +1,4 @@
-//! The platform's store, reduced to one record with its revision.
+//! The platform's store, reduced to one record and its revision.
 
 use model::position::Revision;
 use policy::message::{StoreReply, StoreRequest, Versioned};
@@ -8,20 +8,24 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Store {
     pub(crate) held: Versioned,
-    /// No request takes effect, and none is answered.
+    /// Whether requests are ignored: none takes effect, and none gets a reply.
     pub(crate) down: bool,
-    /// Percent of requests that take effect and whose answer is lost.
-    pub(crate) lose: u32,
-    /// Claims that succeeded; a term may appear once.
+    /// Percentage of requests that take effect but whose reply is lost.
+    pub(crate) lose_replies: u32,
+    /// Terms of successful claims; each term may appear only once.
     pub(crate) claims: Vec<u64>,
 }
 
 impl Store {
-    pub(crate) fn take(&mut self, ask: StoreRequest, rng: &mut SmallRng) -> Option<StoreReply> {
+    pub(crate) fn handle(
+        &mut self,
+        request: StoreRequest,
+        rng: &mut SmallRng,
+    ) -> Option<StoreReply> {
         if self.down {
             return None;
         }
-        let answer = match ask {
+        let reply = match request {
             StoreRequest::Swap { expected, record } if expected == self.held.revision => {
                 if record.primary.is_none() {
                     self.claims.push(record.term.0);
@@ -33,7 +37,7 @@
             }
             StoreRequest::Read | StoreRequest::Swap { .. } => StoreReply::Found(self.held.clone()),
         };
-        let lost = rng.random_range(0..100) < self.lose;
-        Some(if lost { StoreReply::Unknown } else { answer })
+        let lost = rng.random_range(0..100) < self.lose_replies;
+        Some(if lost { StoreReply::Unknown } else { reply })
     }
 }
--- a/crates/policy/tests/failover/model.rs
+++ b/crates/policy/tests/failover/model.rs
@@ -1,42 +1,42 @@
-//! Random faults against the controllers of three proxies, judged by what callers were
-//! told: no acknowledged write is lost, no replaced primary acknowledges, one primary
-//! acknowledges in each term, every session reads its own writes, and the fleet serves
-//! again once the faults end.
+//! Random faults against the controllers of [`PROXIES`] proxies. The outcomes that callers
+//! get are checked: no acknowledged write is lost, no replaced primary acknowledges a write,
+//! only one primary acknowledges writes in each term, every session reads its own writes,
+//! and the fleet serves requests again once the faults end.
 
 use model::settings::Acknowledge;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest, prop_state_machine};
 
-use crate::fake::caller::Marks;
+use crate::fake::caller::Requirement;
 use crate::fake::fault::Fault;
 use crate::fake::{self, World};
 
 const CASES: u32 = 48;
 const PROXIES: usize = 4;
 
-/// Faults that are there at once, at most.
-const AT_ONCE: usize = 2;
+/// Largest number of simultaneous faults.
+const MAX_CONCURRENT_FAULTS: usize = 2;
 
-/// One transition.
+/// One transition of the state machine.
 #[derive(Clone, Debug)]
 enum Op {
-    /// Time passes while callers write and read.
+    /// Callers write and read for this many milliseconds.
     Traffic(u64),
-    /// One request by itself.
+    /// A single request.
     Write(usize, usize),
-    Read(usize, usize, Marks),
+    Read(usize, usize, Requirement),
     /// A fault begins.
     Begin(Fault),
     /// The oldest fault ends.
     End,
 }
 
-fn marks() -> impl Strategy<Value = Marks> {
+fn requirement() -> impl Strategy<Value = Requirement> {
     prop_oneof![
-        Just(Marks::Token),
-        Just(Marks::Nothing),
-        prop_oneof![Just(50), Just(500), Just(3_000)].prop_map(Marks::Age),
+        Just(Requirement::Token),
+        Just(Requirement::Unstated),
+        prop_oneof![Just(50), Just(500), Just(3_000)].prop_map(Requirement::MaxAge),
     ]
 }
 
@@ -46,49 +46,49 @@
         3 => prop_oneof![
             Just(Fault::DownLeader),
             Just(Fault::FreezeLeader),
-            Just(Fault::IsolateLeader),
-            Just(Fault::ShutLeader),
+            Just(Fault::IsolateLeaderSite),
+            Just(Fault::IsolateLeaderInstance),
         ],
         2 => prop_oneof![
             site.clone().prop_map(Fault::Down),
             site.clone().prop_map(Fault::Freeze),
-            site.clone().prop_map(Fault::Isolate),
-            (0..2_usize, 1..3_usize).prop_map(|(a, d)| Fault::Cut(a, (a + d).min(2))),
+            site.clone().prop_map(Fault::IsolateSite),
+            (0..2_usize, 1..3_usize).prop_map(|(a, d)| Fault::Partition(a, (a + d).min(2))),
         ],
         2 => prop_oneof![
             (0..PROXIES).prop_map(Fault::Pause),
             (0..PROXIES).prop_map(Fault::Kill),
-            (0..PROXIES).prop_map(Fault::Alone),
+            (0..PROXIES).prop_map(Fault::SeesNoPeers),
         ],
         1 => site.prop_map(Fault::Leaving),
         2 => prop_oneof![
             Just(Fault::StoreDown),
-            (10..100_u32).prop_map(Fault::LoseAnswers),
+            (10..100_u32).prop_map(Fault::LoseReplies),
         ],
         2 => prop_oneof![
             (5..30_u32).prop_map(Fault::Loss),
             (10..150_u64).prop_map(Fault::Jitter),
-            (0..2_u64).prop_map(Fault::Copy),
+            (0..2_u64).prop_map(Fault::ReplicationLimit),
         ],
     ]
 }
 
-/// Transitions that the state allows, so that hardly any are drawn in vain.
+/// Transitions that the state allows, so that few generated ones are rejected.
 fn op(faults: usize) -> impl Strategy<Value = Op> {
     let proxy = 0..PROXIES;
     let session = 0..3_usize;
-    let begin = if faults < AT_ONCE { 3 } else { 0 };
+    let begin = if faults < MAX_CONCURRENT_FAULTS { 3 } else { 0 };
     let end = if faults > 0 { 2 } else { 0 };
     prop_oneof![
         4 => prop_oneof![2..60_u64, 100..700_u64, 700..2_000_u64].prop_map(Op::Traffic),
         2 => (proxy.clone(), session.clone()).prop_map(|(p, s)| Op::Write(p, s)),
-        2 => (proxy, session, marks()).prop_map(|(p, s, m)| Op::Read(p, s, m)),
+        2 => (proxy, session, requirement()).prop_map(|(p, s, m)| Op::Read(p, s, m)),
         begin => fault().prop_map(Op::Begin),
         end => Just(Op::End),
     ]
 }
 
-/// Seed of the world and the number of faults that are there.
+/// Seed of the world and the number of active faults.
 #[derive(Clone, Copy, Debug)]
 struct Model {
     seed: u64,
@@ -119,7 +119,7 @@
 
     fn preconditions(state: &Self, op: &Op) -> bool {
         match op {
-            Op::Begin(_) => state.faults < AT_ONCE,
+            Op::Begin(_) => state.faults < MAX_CONCURRENT_FAULTS,
             Op::End => state.faults > 0,
             Op::Traffic(_) | Op::Write(..) | Op::Read(..) => true,
         }
@@ -142,7 +142,7 @@
             Op::Write(proxy, session) => {
                 world.write(proxy, session);
             }
-            Op::Read(proxy, session, marks) => world.read(proxy, session, marks),
+            Op::Read(proxy, session, requirement) => world.read(proxy, session, requirement),
             Op::Begin(fault) => world.begin(fault),
             Op::End => world.end_oldest(),
         }
@@ -177,5 +177,5 @@
     #![proptest_config(config())]
 
     #[test]
-    fn callers_are_told_the_truth(sequential 1..60 => Controllers);
+    fn callers_get_correct_outcomes(sequential 1..60 => Controllers);
 }
--- a/crates/policy/tests/promote.rs
+++ b/crates/policy/tests/promote.rs
@@ -1,4 +1,4 @@
-//! Single steps of a promotion.
+//! Tests of the steps of a promotion attempt.
 
 use indexmap::IndexMap;
 use model::config::{Fleet, Group, Instance};
@@ -7,8 +7,8 @@
 use model::unit::{Span, Time};
 use policy::decision::Cause;
 use policy::leadership::Record;
-use policy::message::{Query, StoreReply, StoreRequest, Versioned};
-use policy::promote::{self, Attempt, Order, Progress, Step};
+use policy::message::{QueryId, StoreReply, StoreRequest, Versioned};
+use policy::promote::{self, Attempt, Progress, Request, Step};
 use policy::spec::Spec;
 use policy::status::{Role, Status};
 use test_case::test_case;
@@ -51,64 +51,68 @@
     StoreReply::Found(Versioned { revision, record })
 }
 
-/// An attempt of p1 with nonce 7 whose claim of term 2 is under way as query 1.
+/// An attempt of p1 with nonce 7 that has sent its claim of term 2 as query 1.
 fn claiming() -> Attempt {
     let me = "p1".parse().unwrap();
     let known = Versioned::default();
     let mut attempt = Attempt::new(NOW, &me, Cause::Unreachable, Some(&known), Term(1), 7);
-    let orders = attempt.orders(NOW, &spec(None));
+    let requests = attempt.requests(NOW, &spec(None));
     assert!(matches!(
-        &orders[..],
-        [Order::Store(StoreRequest::Swap { .. })]
+        &requests[..],
+        [Request::Store(StoreRequest::Swap { .. })]
     ));
-    attempt.note_store(NOW, Query(1));
+    attempt.store_queried(NOW, QueryId(1));
     attempt
 }
 
-// Two proxies claim the same term at once. One of them gets no answer and reads back. The
-// record has the term that it claimed, but the other's nonce: the term is not its own.
+// Two proxies claim the same term at the same time. One of them gets no reply and reads the
+// record back. The record has the claimed term but the other proxy's nonce, so that the term
+// belongs to the other proxy.
 #[test]
-fn a_lost_claim_is_not_taken_for_a_won_one() {
+fn a_claim_lost_to_another_proxy_is_recognised() {
     let mut attempt = claiming();
-    assert_eq!(attempt.store(NOW, Query(1), StoreReply::Unknown), None);
-    attempt.note_store(NOW, Query(2));
+    assert_eq!(
+        attempt.take_store_reply(NOW, QueryId(1), StoreReply::Unknown),
+        None
+    );
+    attempt.store_queried(NOW, QueryId(2));
     let other = found(1, Some(record("p2", 8)));
-    let progress = attempt.store(NOW, Query(2), other);
-    assert!(matches!(progress, Some(Progress::Outrun(_))));
-    assert!(!attempt.claimed());
+    let progress = attempt.take_store_reply(NOW, QueryId(2), other);
+    assert!(matches!(progress, Some(Progress::Superseded(_))));
+    assert!(!attempt.has_claim());
 }
 
-// The claim took effect and its answer was lost. Reading back finds its own nonce.
+// The claim took effect, but its reply was lost. The record read back has its nonce.
 #[test]
-fn a_claim_whose_answer_was_lost_is_recognised() {
+fn a_claim_whose_reply_was_lost_is_recognised() {
     let mut attempt = claiming();
-    attempt.store(NOW, Query(1), StoreReply::Unknown);
-    attempt.note_store(NOW, Query(2));
+    attempt.take_store_reply(NOW, QueryId(1), StoreReply::Unknown);
+    attempt.store_queried(NOW, QueryId(2));
     let own = found(1, Some(record("p1", 7)));
-    let progress = attempt.store(NOW, Query(2), own);
+    let progress = attempt.take_store_reply(NOW, QueryId(2), own);
     assert_eq!(progress, Some(Progress::Claimed));
 }
 
-// The claim did not take effect yet and its answer was lost. It is sent again on the same
-// revision, so that of the two at most one takes effect.
+// The claim has not taken effect yet, and its reply was lost. It is repeated with the same
+// expected revision, so that at most one of the two takes effect.
 #[test]
-fn a_claim_without_effect_is_sent_again() {
+fn a_claim_without_effect_is_repeated() {
     let mut attempt = claiming();
-    attempt.store(NOW, Query(1), StoreReply::Unknown);
-    attempt.note_store(NOW, Query(2));
-    attempt.store(NOW, Query(2), found(0, None));
+    attempt.take_store_reply(NOW, QueryId(1), StoreReply::Unknown);
+    attempt.store_queried(NOW, QueryId(2));
+    attempt.take_store_reply(NOW, QueryId(2), found(0, None));
     assert_eq!(attempt.step, Step::Claiming);
-    let late = attempt.store(NOW, Query(1), StoreReply::Swapped(Revision(1)));
+    let late = attempt.take_store_reply(NOW, QueryId(1), StoreReply::Swapped(Revision(1)));
     assert_eq!(late, Some(Progress::Claimed));
 }
 
-// The chosen instance does not answer. It may have been promoted all the same, so the
-// attempt ends, and nobody else is promoted under its term.
+// The chosen instance does not respond. It may have been promoted nevertheless, so the
+// attempt ends, and no other instance is promoted under its term.
 #[test]
-fn one_term_never_has_a_second_choice() {
+fn a_term_never_has_a_second_choice() {
     let spec = spec(None);
     let mut attempt = claiming();
-    attempt.store(NOW, Query(1), StoreReply::Swapped(Revision(1)));
+    attempt.take_store_reply(NOW, QueryId(1), StoreReply::Swapped(Revision(1)));
     for id in ["i1", "i2"] {
         attempt.observe(NOW, &spec, &id.parse().unwrap(), &fenced("1:0", 5));
     }
@@ -127,19 +131,23 @@
         history: history.parse().unwrap(),
         received: model::position::Position(received),
         applied: model::position::Position(received),
-        heard: Span::default(),
+        contact_age: Span::default(),
     }
 }
 
-// The log with the newest term goes first, then the longest; a leaving instance goes last
-// as long as a majority of logs ends no later than another's.
+// The log with the newest term is preferred, then the longest one. A leaving instance is
+// chosen only if no other instance is safe to promote.
 #[test_case(None, [Some(("1:0", 5)), Some(("1:0", 7)), None], Some("i1"); "the longer log")]
 #[test_case(None, [Some(("1:0", 9)), Some(("1:0,3:5", 6)), None], Some("i1"); "the newer term")]
 #[test_case(None, [Some(("1:0", 5)), Some(("1:0", 5)), None], Some("i0"); "a tie")]
 #[test_case(None, [Some(("1:0", 5)), None, None], None; "no majority")]
 #[test_case(Some(0), [Some(("1:0", 9)), Some(("1:0", 8)), Some(("1:0", 7))], Some("i1"); "leaving")]
 #[test_case(Some(0), [Some(("1:0", 9)), Some(("1:0", 8)), None], Some("i0"); "leaving, the only safe one")]
-fn chooses(leaving: Option<usize>, logs: [Option<(&str, u64)>; 3], expected: Option<&str>) {
+fn chooses_the_next_primary(
+    leaving: Option<usize>,
+    logs: [Option<(&str, u64)>; 3],
+    expected: Option<&str>,
+) {
     let mut statuses = IndexMap::new();
     for (at, log) in logs.into_iter().enumerate() {
         if let Some((history, received)) = log {
