--- a/crates/front/src/changes.rs
+++ b/crates/front/src/changes.rs
@@ -116,7 +116,7 @@
             let before = self.counted;
             self.changing.entry(group.clone()).or_insert(before);
         }
-        self.counted.checked(asked);
+        self.counted.record_no_change(asked);
     }
 }
 
--- a/crates/front/src/coordinator.rs
+++ b/crates/front/src/coordinator.rs
@@ -223,7 +223,11 @@
         };
         let holder = Token::first(duty.0);
         let late = self.accounts.with(group, |e| e.observe(holder, members));
-        if let Some(UnexpectedPrimary { instance, after }) = late {
+        if let Some(UnexpectedPrimary {
+            instance,
+            last_purpose: after,
+        }) = late
+        {
             self.cx.metrics.order_late(after);
             tracing::warn!(%group, %instance, ?after, "an instance leads that the last order does not account for");
         }
@@ -266,9 +270,9 @@
         });
         self.directory.with(|state| {
             let doubts = Suspicions {
-                by: state.doubts(group).chain(reported).collect(),
+                by_proxy: state.doubts(group).chain(reported).collect(),
                 primary: primary.cloned(),
-                settling: self.named.settling(group),
+                recently_promoted: self.named.settling(group),
                 holders: state.holders(group) as usize,
             };
             quorum::suspected(&doubts, |id| state.is_announced(id))
@@ -279,7 +283,7 @@
     fn lags(&self, group: &GroupId, told: &[(ProxyId, Concern)]) -> bool {
         let lags = told.iter().filter(|(_, concern)| concern.lags).count();
         let holders = self.directory.with(|state| state.holders(group));
-        lags >= quorum::needed(holders as usize) && self.lag_handled.due(group)
+        lags >= quorum::required(holders as usize) && self.lag_handled.due(group)
     }
 }
 
--- a/crates/front/src/coordinator/links.rs
+++ b/crates/front/src/coordinator/links.rs
@@ -186,10 +186,10 @@
             let state = states.get(&entry.id).copied();
             InstanceView {
                 id: entry.id.clone(),
-                listed: *listed,
+                announced: *listed,
                 leaving: entry.leaving,
-                alive: state.is_some() || self.refused.contains(&entry.id),
-                near: near(entry),
+                responded: state.is_some() || self.refused.contains(&entry.id),
+                same_region: near(entry),
                 state,
             }
         };
--- a/crates/front/src/coordinator/order.rs
+++ b/crates/front/src/coordinator/order.rs
@@ -102,10 +102,10 @@
     pub(super) async fn settle(self, this: &Coordinator, group: &GroupId, led: bool) {
         if led && self.answer == Some(OrderResponse::Accepted) && self.earlier {
             // It leads by the earlier order, and this one is about to take effect as well.
-            clock::sleep_until(self.at + order::TAKES_EFFECT).await;
+            clock::sleep_until(self.at + order::EFFECT_TIMEOUT).await;
         }
         let since = clock::now().since(self.at);
-        if order::is_over(self.answer, self.earlier, led, since) {
+        if order::is_settled(self.answer, self.earlier, led, since) {
             forget(this, group, Call::Lead, self.noted).await;
         }
     }
--- a/crates/front/src/coordinator/report.rs
+++ b/crates/front/src/coordinator/report.rs
@@ -31,9 +31,9 @@
         term = state.map(|s| tracing::field::display(s.term)),
         received = state.map(|s| tracing::field::display(s.received)),
         paused = state.map(|s| tracing::field::display(s.paused)),
-        listed = member.map(|m| m.listed),
+        listed = member.map(|m| m.announced),
         leaving = member.map(|m| m.leaving),
-        alive = member.map(|m| m.alive),
+        alive = member.map(|m| m.responded),
         "an instance as the coordinator sees it"
     );
 }
--- a/crates/front/src/coordinator/takeover.rs
+++ b/crates/front/src/coordinator/takeover.rs
@@ -146,14 +146,14 @@
         }
         let told = self.told_to_stop.map(|at| clock::now().since(at));
         let look = Survey {
-            members,
-            old: self.old.clone(),
+            instances: members,
+            old_primary: self.old.clone(),
             cause: self.cause,
             known_end,
             resume_pending,
-            ordered,
-            told_to_stop: told,
-            noted,
+            pending_order: ordered,
+            since_demote: told,
+            intent_recorded: noted,
         };
         self.step(this, &look).await
     }
@@ -177,10 +177,10 @@
                 false
             }
             Step::Wait(hold) => {
-                self.wait(this, hold, &look.members).await;
+                self.wait(this, hold, &look.instances).await;
                 false
             }
-            Step::Promote(next) => self.promote(this, &next, &look.members).await,
+            Step::Promote(next) => self.promote(this, &next, &look.instances).await,
         }
     }
 
@@ -265,7 +265,7 @@
         };
         self.ordered = true;
         let accepted = given.answer == Some(OrderResponse::Accepted);
-        let until = given.at + policy::order::wait(given.answer);
+        let until = given.at + policy::order::leader_wait(given.answer);
         self.led = leads(this, &mut self.links, next, newcomers, until).await;
         if self.led {
             tracing::warn!(group = %group.group(), instance = %next, "the primary was replaced");
--- a/crates/front/src/group.rs
+++ b/crates/front/src/group.rs
@@ -238,7 +238,7 @@
             }
             Message::Release => self.pool.release(now),
             Message::Primary(id) => {
-                self.watch.expect(&id);
+                self.watch.expect_primary(&id);
                 self.look(now);
                 Vec::new()
             }
@@ -259,7 +259,7 @@
     }
 
     fn proved(&mut self, id: &InstanceId, proof: Proof) {
-        if self.watch.proved(id, proof.since) {
+        if self.watch.record_proof(id, proof.since) {
             tracing::info!(group = %self.id, instance = %id, "the primary is well again");
         }
         if self.pool.proved(id, proof) {
@@ -301,7 +301,7 @@
             }
             self.own = shares.own;
             // A proxy that no longer looks must not go on doubting.
-            self.watch.forget();
+            self.watch.reset();
         }
         self.shared = true;
     }
@@ -316,11 +316,11 @@
             Note::Lacks(point) => self.pool.lacks(id, point, now),
             Note::Silent => {
                 self.pool.rest(id, now + probe::REST);
-                self.watch.suspect(id, now);
+                self.watch.connection_failed(id, now);
                 self.look(now);
             }
-            Note::WriteStalls => self.watch.stalled(id, now),
-            Note::Wrote => self.watch.wrote(id),
+            Note::WriteStalls => self.watch.record_stall(id, now),
+            Note::Wrote => self.watch.record_write(id),
         }
     }
 
--- a/crates/front/src/group/probe.rs
+++ b/crates/front/src/group/probe.rs
@@ -65,12 +65,12 @@
         }
         let proved = self.pool.newest_proof().map(|p| p.since);
         let primary = self.pool.primary().cloned();
-        for id in self.watch.ask(primary.as_ref(), proved, now) {
+        for id in self.watch.start_probes(primary.as_ref(), proved, now) {
             let conn = self.pool.take_idle(&id);
             let opening = conn.is_none() && self.pool.begin_open(&id, now);
             if conn.is_none() && !opening {
                 // Its connections are all in use, and their statements show whether it lives.
-                self.watch.answered(&id);
+                self.watch.probe_ended(&id);
                 continue;
             }
             self.probe(id, conn);
@@ -107,13 +107,13 @@
     pub(super) fn probed(&mut self, report: Report, now: Time) -> Vec<Action<Conn, Reply>> {
         let id = report.instance;
         if report.asked {
-            self.watch.answered(&id);
+            self.watch.probe_ended(&id);
         }
         match report.found {
             Ok(proof) => self.proved(&id, proof),
             Err(ProbeFailure::Full) => {}
             Err(finding) => {
-                self.watch.failed(&id, finding, now);
+                self.watch.record_failure(&id, finding, now);
                 self.disproved(&id, cause(finding));
                 if finding != ProbeFailure::Follows {
                     self.pool.rest(&id, now + REST);
--- a/crates/front/src/group/receipt.rs
+++ b/crates/front/src/group/receipt.rs
@@ -133,7 +133,7 @@
             self.add(request);
         }
         if let Some(end) = end {
-            let held = self.unproven.held(&id, end);
+            let held = self.unproven.take_held(&id, end);
             if !held.is_empty() {
                 self.pause = PAUSES.0;
             }
@@ -143,7 +143,7 @@
 
     /// Answers those whose callers wait no longer.
     fn give_up(&mut self) {
-        let expired = self.unproven.expired(clock::now());
+        let expired = self.unproven.take_expired(clock::now());
         if !expired.is_empty() {
             tracing::warn!(group = %self.group, writes = expired.len(), "writes have an answer, but no replica is known to hold them");
         }
--- a/crates/front/src/member/duty.rs
+++ b/crates/front/src/member/duty.rs
@@ -150,7 +150,8 @@
         ttl: Duration,
         expected: Revision,
     ) -> Result<(), Error> {
-        let pause = directory.with(|s| election::pause(&self.id, s.live(), &mut rand::rng()));
+        let pause =
+            directory.with(|s| election::candidacy_delay(&self.id, s.live(), &mut rand::rng()));
         compio::time::sleep(pause.as_duration()).await;
         let at = |record: &Record| record.revision;
         let taken = directory.with(|s| s.coordinator().map_or(Revision(0), at)) != expected;
--- a/crates/policy/src/election.rs
+++ b/crates/policy/src/election.rs
@@ -22,7 +22,7 @@
 const LONGEST: Span = Span::from_millis(600);
 
 /// How long `me` waits before it stands; `live` are the proxies that it knows, itself or not.
-pub fn pause<'a>(
+pub fn candidacy_delay<'a>(
     me: &'a ProxyId,
     live: impl Iterator<Item = &'a ProxyId>,
     rng: &mut impl Rng,
--- a/crates/policy/src/order_tracker.rs
+++ b/crates/policy/src/order_tracker.rs
@@ -20,7 +20,7 @@
     /// The instance that leads.
     pub instance: InstanceId,
     /// What the last order was for, if this holder gave one.
-    pub after: Option<Purpose>,
+    pub last_purpose: Option<Purpose>,
 }
 
 /// What one holder of the duty knows of a group's primary and of its own orders.
@@ -52,7 +52,7 @@
     pub fn observe(
         &mut self,
         holder: Token,
-        members: &[InstanceView],
+        instances: &[InstanceView],
     ) -> Option<UnexpectedPrimary> {
         if self.holder != holder {
             *self = Self {
@@ -60,8 +60,8 @@
                 ..Self::default()
             };
         }
-        let newest = takeover::newest_term(members);
-        let leader = takeover::leader(members);
+        let newest = takeover::newest_term(instances);
+        let leader = takeover::leader(instances);
         if !self.begun {
             self.begun = leader.is_some();
             self.term = self.term.max(newest);
@@ -72,11 +72,14 @@
             return None;
         }
         self.term = newest;
-        let after = match &self.last {
+        let last_purpose = match &self.last {
             Some((Purpose::Change, named)) if *named == leader.id => return None,
             last => last.as_ref().map(|(purpose, _)| *purpose),
         };
         let instance = leader.id.clone();
-        Some(UnexpectedPrimary { instance, after })
+        Some(UnexpectedPrimary {
+            instance,
+            last_purpose,
+        })
     }
 }
--- a/crates/policy/src/primary_monitor.rs
+++ b/crates/policy/src/primary_monitor.rs
@@ -105,7 +105,7 @@
     }
 
     /// Forgets what was found out so far.
-    pub fn forget(&mut self) {
+    pub fn reset(&mut self) {
         let candidates = std::mem::take(&mut self.candidates);
         *self = Self {
             candidates,
@@ -114,15 +114,15 @@
     }
 
     /// An instance was just made primary: it is asked first.
-    pub fn expect(&mut self, id: &InstanceId) {
+    pub fn expect_primary(&mut self, id: &InstanceId) {
         self.expected = Some(id.clone());
         if let Some(candidate) = self.candidates.get_mut(id) {
             candidate.asked = None;
         }
     }
 
-    /// Whom to ask now; each of them is asked until [`PrimaryMonitor::answered`].
-    pub fn ask(
+    /// Whom to ask now; each of them is asked until [`PrimaryMonitor::probe_ended`].
+    pub fn start_probes(
         &mut self,
         primary: Option<&InstanceId>,
         proved: Option<Time>,
@@ -155,14 +155,14 @@
     }
 
     /// A question ended, with an answer or without.
-    pub fn answered(&mut self, id: &InstanceId) {
+    pub fn probe_ended(&mut self, id: &InstanceId) {
         if let Some(candidate) = self.candidates.get_mut(id) {
             candidate.asking = false;
         }
     }
 
     /// The instance proved that it leads; says whether this ends a doubt.
-    pub fn proved(&mut self, id: &InstanceId, since: Time) -> bool {
+    pub fn record_proof(&mut self, id: &InstanceId, since: Time) -> bool {
         // A proof that was asked for before the failure began says nothing about it.
         let earlier = self.failing_since.is_some_and(|at| since < at);
         if earlier && self.leader.as_ref() == Some(id) {
@@ -180,7 +180,7 @@
     }
 
     /// The instance did not prove it.
-    pub fn failed(&mut self, id: &InstanceId, finding: ProbeFailure, now: Time) {
+    pub fn record_failure(&mut self, id: &InstanceId, finding: ProbeFailure, now: Time) {
         if finding == ProbeFailure::Full {
             return;
         }
@@ -203,7 +203,7 @@
     }
 
     /// A session saw a connection to the instance fail: the primary is asked at once.
-    pub fn suspect(&mut self, id: &InstanceId, now: Time) {
+    pub fn connection_failed(&mut self, id: &InstanceId, now: Time) {
         if self.leader.as_ref() != Some(id) {
             return;
         }
@@ -214,7 +214,7 @@
     }
 
     /// A write on the instance has been without an answer for long.
-    pub fn stalled(&mut self, id: &InstanceId, now: Time) {
+    pub fn record_stall(&mut self, id: &InstanceId, now: Time) {
         if self.leader.as_ref() != Some(id) || now.since(self.led_since) < SETTLING {
             return;
         }
@@ -226,7 +226,7 @@
     }
 
     /// A write on the instance was acknowledged.
-    pub fn wrote(&mut self, id: &InstanceId) {
+    pub fn record_write(&mut self, id: &InstanceId) {
         if self.leader.as_ref() == Some(id) {
             self.stalls = 0;
         }
--- a/crates/policy/src/quorum.rs
+++ b/crates/policy/src/quorum.rs
@@ -14,7 +14,7 @@
 const LEAST: usize = 2;
 
 /// Proxies that must agree, of those that hold connections to the group.
-pub fn needed(holders: usize) -> usize {
+pub fn required(holders: usize) -> usize {
     holders.div_ceil(PART).max(LEAST.min(holders)).max(1)
 }
 
@@ -22,11 +22,11 @@
 #[derive(Clone, Debug, Default)]
 pub struct Suspicions {
     /// The instance that each proxy doubts.
-    pub by: IndexMap<ProxyId, InstanceId>,
+    pub by_proxy: IndexMap<ProxyId, InstanceId>,
     /// The instance that proved last that it leads.
     pub primary: Option<InstanceId>,
     /// An instance that was made primary a moment ago.
-    pub settling: Option<InstanceId>,
+    pub recently_promoted: Option<InstanceId>,
     /// Proxies that hold connections to the group.
     pub holders: usize,
 }
@@ -46,16 +46,20 @@
     doubts: &Suspicions,
     is_announced: impl Fn(&InstanceId) -> bool,
 ) -> Option<InstanceId> {
-    let of = |i: &&InstanceId| doubts.settling.as_ref() != Some(*i);
+    let of = |i: &&InstanceId| doubts.recently_promoted.as_ref() != Some(*i);
     let suspect = match &doubts.primary {
-        Some(primary) => doubts.by.values().filter(of).find(|i| *i == primary)?,
-        None => doubts.by.values().find(of)?,
+        Some(primary) => doubts
+            .by_proxy
+            .values()
+            .filter(of)
+            .find(|i| *i == primary)?,
+        None => doubts.by_proxy.values().find(of)?,
     };
-    let same = doubts.by.values().filter(|i| *i == suspect).count();
-    let needed = if is_announced(suspect) {
-        needed(doubts.holders)
+    let same = doubts.by_proxy.values().filter(|i| *i == suspect).count();
+    let required = if is_announced(suspect) {
+        required(doubts.holders)
     } else {
         1
     };
-    (same >= needed).then(|| suspect.clone())
+    (same >= required).then(|| suspect.clone())
 }
--- a/crates/policy/src/replica_ack.rs
+++ b/crates/policy/src/replica_ack.rs
@@ -31,7 +31,7 @@
     ///
     /// Logs of different terms may have parted before this write. What the primary itself
     /// holds proves nothing, also once it has become a replica.
-    pub fn is_held(&self, replica: &InstanceId, received: Point) -> bool {
+    pub fn is_held_by(&self, replica: &InstanceId, received: Point) -> bool {
         let same_log = received.term == self.point.term;
         *replica != self.primary && same_log && received >= self.point
     }
@@ -43,7 +43,7 @@
 
 impl EligibleBefore {
     /// The store was asked at `asked` and held no note of a change.
-    pub fn checked(&mut self, asked: Time) {
+    pub fn record_no_change(&mut self, asked: Time) {
         self.0 = self.0.max(Some(asked));
     }
 
@@ -125,13 +125,13 @@
     }
 
     /// Takes out the writes that this replica is now known to hold.
-    pub fn held(&mut self, replica: &InstanceId, received: Point) -> Vec<R> {
-        let held = |(write, ..): &mut (Write, Time, R)| write.is_held(replica, received);
+    pub fn take_held(&mut self, replica: &InstanceId, received: Point) -> Vec<R> {
+        let held = |(write, ..): &mut (Write, Time, R)| write.is_held_by(replica, received);
         self.0.extract_if(.., held).map(|(.., who)| who).collect()
     }
 
     /// Takes out those whose callers wait no longer.
-    pub fn expired(&mut self, now: Time) -> Vec<R> {
+    pub fn take_expired(&mut self, now: Time) -> Vec<R> {
         let over = |(_, give_up, _): &mut (Write, Time, R)| *give_up <= now;
         self.0.extract_if(.., over).map(|(.., who)| who).collect()
     }
--- a/crates/policy/src/takeover.rs
+++ b/crates/policy/src/takeover.rs
@@ -88,13 +88,13 @@
     /// Which one.
     pub id: InstanceId,
     /// Whether it is announced in the store.
-    pub listed: bool,
+    pub announced: bool,
     /// Whether it is being taken out of service.
     pub leaving: bool,
     /// Whether it gave any answer just now, if only that it has no slot.
-    pub alive: bool,
+    pub responded: bool,
     /// Whether it is in the region of the primary that is to be replaced.
-    pub near: bool,
+    pub same_region: bool,
     /// What it told of itself just now.
     pub state: Option<State>,
 }
@@ -174,10 +174,10 @@
 #[derive(Clone, Debug)]
 pub struct Survey {
     /// The instances.
-    pub members: Vec<InstanceView>,
+    pub instances: Vec<InstanceView>,
     /// The primary that is to be replaced. What it alone holds has not been acknowledged as
     /// long as every replica answers.
-    pub old: InstanceId,
+    pub old_primary: InstanceId,
     /// Why it is to be replaced.
     pub cause: Cause,
     /// Newest end of its log that the coordinator saw before the look.
@@ -185,67 +185,67 @@
     /// Whether an order to receive again had no answer and may still be carried out.
     pub resume_pending: bool,
     /// The instance of an earlier order that may still be carried out.
-    pub ordered: Option<InstanceId>,
+    pub pending_order: Option<InstanceId>,
     /// For how long the old primary has been told to stop leading.
-    pub told_to_stop: Option<Span>,
+    pub since_demote: Option<Span>,
     /// Whether the store held the note of this change before the look, and the members are
     /// those announced before the note at least.
-    pub noted: bool,
+    pub intent_recorded: bool,
 }
 
 impl Survey {
-    fn member(&self, id: &InstanceId) -> Option<&InstanceView> {
-        self.members.iter().find(|m| m.id == *id)
+    fn instance(&self, id: &InstanceId) -> Option<&InstanceView> {
+        self.instances.iter().find(|m| m.id == *id)
     }
 
-    fn old_primary(&self) -> Option<&InstanceView> {
-        self.member(&self.old)
+    fn old_view(&self) -> Option<&InstanceView> {
+        self.instance(&self.old_primary)
     }
 
     /// Whether the old primary follows without having been told to by this change. It may follow
     /// another instance, so that its log counts like a replica's. While an order is pending, the
     /// change that gave it may have told it to stop.
     fn superseded(&self) -> bool {
-        let state = self.old_primary().and_then(|m| m.state);
+        let state = self.old_view().and_then(|m| m.state);
         let follows = state.is_some_and(|s| s.role == Role::Replica);
-        follows && self.told_to_stop.is_none() && self.ordered.is_none()
+        follows && self.since_demote.is_none() && self.pending_order.is_none()
     }
 
     /// Whether this is the primary that is to be replaced.
-    fn is_old(&self, member: &InstanceView) -> bool {
-        member.id == self.old && !self.superseded()
+    fn is_old(&self, instance: &InstanceView) -> bool {
+        instance.id == self.old_primary && !self.superseded()
     }
 }
 
 /// Decides the next step.
-pub fn next_step(look: &Survey) -> Step {
-    match decide(look) {
-        Step::Promote(_) if !look.noted => Step::Wait(WaitCause::Unnoted),
+pub fn next_step(survey: &Survey) -> Step {
+    match decide(survey) {
+        Step::Promote(_) if !survey.intent_recorded => Step::Wait(WaitCause::Unnoted),
         step => step,
     }
 }
 
-fn decide(look: &Survey) -> Step {
+fn decide(survey: &Survey) -> Step {
     let Survey {
-        members,
-        old,
+        instances,
+        old_primary,
         cause,
         known_end,
         ..
-    } = look;
-    let newest = newest_term(members);
-    let primary = leader(members);
-    let pending = look.ordered.is_some();
-    if needless(look, primary) && !pending {
+    } = survey;
+    let newest = newest_term(instances);
+    let primary = leader(instances);
+    let pending = survey.pending_order.is_some();
+    if needless(survey, primary) && !pending {
         return Step::Abandon;
     }
     if *cause == Cause::Lagging && primary.is_none() && !pending {
         return Step::Wait(WaitCause::PrimarySilent);
     }
-    let candidate = candidate(look, newest);
+    let candidate = candidate(survey, newest);
     // While the instance of a pending order is silent, the others stay stopped for it.
-    let chosen = candidate.map(|m| &m.id).or(look.ordered.as_ref());
-    let others = replicas(members, newest).filter(|m| Some(&m.id) != chosen && !look.is_old(m));
+    let chosen = candidate.map(|m| &m.id).or(survey.pending_order.as_ref());
+    let others = replicas(instances, newest).filter(|m| Some(&m.id) != chosen && !survey.is_old(m));
     let term = newest.next();
     let running = others
         .clone()
@@ -268,28 +268,28 @@
         return Step::Promote(candidate.id.clone());
     }
     let missing = others.clone().any(|m| m.state.is_none());
-    let resumes = look.resume_pending && others.clone().next().is_some();
+    let resumes = survey.resume_pending && others.clone().next().is_some();
     if *cause == Cause::Doubted {
-        if lives(look) {
-            return Step::Demote(term, old.clone());
+        if lives(survey) {
+            return Step::Demote(term, old_primary.clone());
         }
-        if holds_more(look, own.received) {
+        if holds_more(survey, own.received) {
             return Step::Wait(WaitCause::Announcing);
         }
     }
     if !missing && !resumes {
         return Step::Promote(candidate.id.clone());
     }
-    without_old(look, candidate, term)
+    without_old(survey, candidate, term)
 }
 
 /// Whether the cause is gone.
-fn needless(look: &Survey, primary: Option<&InstanceView>) -> bool {
-    match look.cause {
+fn needless(survey: &Survey, primary: Option<&InstanceView>) -> bool {
+    match survey.cause {
         Cause::Doubted => false,
         Cause::Unfinished => primary.is_some(),
         Cause::Leaving => primary.is_some_and(|p| !p.leaving),
-        Cause::Lagging => primary.is_some_and(|p| p.id != look.old),
+        Cause::Lagging => primary.is_some_and(|p| p.id != survey.old_primary),
     }
 }
 
@@ -299,26 +299,26 @@
 /// order is on its way receives the whole log before it is announced and can be stopped.
 /// One that has no slot for the question has none for the order either, mostly: it is told
 /// for a while, and then the change goes on.
-fn lives(look: &Survey) -> bool {
-    let Some(old) = look.old_primary() else {
+fn lives(survey: &Survey) -> bool {
+    let Some(old) = survey.old_view() else {
         return false;
     };
     match old.state {
-        Some(_) => leads(old, newest_term(&look.members)),
-        None => old.alive && !told_long_ago(look),
+        Some(_) => leads(old, newest_term(&survey.instances)),
+        None => old.responded && !told_long_ago(survey),
     }
 }
 
 /// Whether the old primary, which has stopped, holds more than the candidate while an
 /// instance that started just before may be about to be announced: it may have received
 /// and acknowledged that.
-fn holds_more(look: &Survey, received: Point) -> bool {
-    let more = look.old_primary().is_some_and(|m| ahead(m, received));
-    more && look.told_to_stop.is_some() && !told_long_ago(look)
+fn holds_more(survey: &Survey, received: Point) -> bool {
+    let more = survey.old_view().is_some_and(|m| ahead(m, received));
+    more && survey.since_demote.is_some() && !told_long_ago(survey)
 }
 
-fn told_long_ago(look: &Survey) -> bool {
-    look.told_to_stop.is_some_and(|told| told >= ANNOUNCED)
+fn told_long_ago(survey: &Survey) -> bool {
+    survey.since_demote.is_some_and(|told| told >= ANNOUNCED)
 }
 
 /// The next step while the old primary must not acknowledge anything any more.
@@ -329,13 +329,19 @@
 /// That neither of them is announced proves nothing: an entry lapses as well when its instance
 /// is cut off from the store alone. Once it has stopped, what it holds beyond the candidate may
 /// have been acknowledged by a replica that does not answer: then it leads again.
-fn without_old(look: &Survey, candidate: &InstanceView, term: Term) -> Step {
-    let newest = newest_term(&look.members);
-    let silent = look.members.iter().filter(|m| m.state.is_none()).count();
-    match look.old_primary() {
-        Some(_) if look.superseded() && silent > 1 => Step::Wait(WaitCause::Unheard),
-        Some(p) if leads(p, newest) => Step::Demote(term, look.old.clone()),
-        Some(p) if p.state.is_none() && look.resume_pending => Step::Wait(WaitCause::ResumePending),
+fn without_old(survey: &Survey, candidate: &InstanceView, term: Term) -> Step {
+    let newest = newest_term(&survey.instances);
+    let silent = survey
+        .instances
+        .iter()
+        .filter(|m| m.state.is_none())
+        .count();
+    match survey.old_view() {
+        Some(_) if survey.superseded() && silent > 1 => Step::Wait(WaitCause::Unheard),
+        Some(p) if leads(p, newest) => Step::Demote(term, survey.old_primary.clone()),
+        Some(p) if p.state.is_none() && survey.resume_pending => {
+            Step::Wait(WaitCause::ResumePending)
+        }
         Some(p) if p.state.is_none() => Step::Wait(WaitCause::Unheard),
         Some(p) if silent > 0 && candidate.state.is_some_and(|s| ahead(p, s.received)) => {
             Step::Promote(p.id.clone())
@@ -345,8 +351,8 @@
 }
 
 /// The newest term that any instance tells of.
-pub fn newest_term(members: &[InstanceView]) -> Term {
-    let states = members.iter().filter_map(|m| m.state);
+pub fn newest_term(instances: &[InstanceView]) -> Term {
+    let states = instances.iter().filter_map(|m| m.state);
     states
         .map(|s| s.term.max(s.received.term))
         .max()
@@ -354,20 +360,23 @@
 }
 
 /// Whether the instance leads the newest term, by its own word.
-pub fn leads(member: &InstanceView, newest: Term) -> bool {
-    member
+pub fn leads(instance: &InstanceView, newest: Term) -> bool {
+    instance
         .state
         .is_some_and(|s| s.role == Role::Primary && s.term >= newest)
 }
 
 /// The instance that leads the newest term, if it answered.
-pub fn leader(members: &[InstanceView]) -> Option<&InstanceView> {
-    let newest = newest_term(members);
-    members.iter().find(|m| leads(m, newest))
+pub fn leader(instances: &[InstanceView]) -> Option<&InstanceView> {
+    let newest = newest_term(instances);
+    instances.iter().find(|m| leads(m, newest))
 }
 
-fn replicas(members: &[InstanceView], newest: Term) -> impl Iterator<Item = &InstanceView> + Clone {
-    members.iter().filter(move |m| !leads(m, newest))
+fn replicas(
+    instances: &[InstanceView],
+    newest: Term,
+) -> impl Iterator<Item = &InstanceView> + Clone {
+    instances.iter().filter(move |m| !leads(m, newest))
 }
 
 /// The replica to name; among equals the first, so that a second look chooses the same.
@@ -379,18 +388,26 @@
 /// While an order for an instance may still be carried out, no other is named: once it is
 /// carried out all replicas receive again, and what they then acknowledge may be missing from
 /// an instance that was chosen before.
-fn candidate(look: &Survey, newest: Term) -> Option<&InstanceView> {
-    let members = &look.members;
-    let alive = leader(members).is_some();
-    let ordered = look.ordered.as_ref().filter(|id| !lost_its_log(look, id));
+fn candidate(survey: &Survey, newest: Term) -> Option<&InstanceView> {
+    let instances = &survey.instances;
+    let alive = leader(instances).is_some();
+    let ordered = survey
+        .pending_order
+        .as_ref()
+        .filter(|id| !lost_its_log(survey, id));
     let may_lead = |m: &&InstanceView| {
-        let meant = ordered.map_or_else(|| !look.is_old(m), |ordered| *ordered == m.id);
-        m.listed && meant
+        let meant = ordered.map_or_else(|| !survey.is_old(m), |ordered| *ordered == m.id);
+        m.announced && meant
     };
-    let others = replicas(members, newest).filter(may_lead);
+    let others = replicas(instances, newest).filter(may_lead);
     let ranked = others.filter_map(|m| {
         let received = m.state?.received;
-        let rank = (alive && !m.leaving, alive && m.near, received, !m.leaving);
+        let rank = (
+            alive && !m.leaving,
+            alive && m.same_region,
+            received,
+            !m.leaving,
+        );
         Some((rank, m))
     });
     let best = ranked.reduce(|best, next| if next.0 > best.0 { next } else { best });
@@ -399,20 +416,20 @@
 
 /// Whether an instance that was ordered no longer holds what a stopped replica does: it began
 /// anew. An order for another one then loses less than the wait for its own.
-fn lost_its_log(look: &Survey, ordered: &InstanceId) -> bool {
-    let Some(own) = look.member(ordered).and_then(|m| m.state) else {
+fn lost_its_log(survey: &Survey, ordered: &InstanceId) -> bool {
+    let Some(own) = survey.instance(ordered).and_then(|m| m.state) else {
         return false;
     };
-    let others = look
-        .members
+    let others = survey
+        .instances
         .iter()
-        .filter(|m| m.id != *ordered && m.id != look.old);
+        .filter(|m| m.id != *ordered && m.id != survey.old_primary);
     let mut stopped = others.filter(|m| m.state.is_some_and(|s| s.paused.0 > 0));
     stopped.any(|m| ahead(m, own.received))
 }
 
-fn ahead(member: &InstanceView, received: Point) -> bool {
-    member.state.is_some_and(|s| s.received > received)
+fn ahead(instance: &InstanceView, received: Point) -> bool {
+    instance.state.is_some_and(|s| s.received > received)
 }
 
 /// Whether a silent replica may hold an acknowledged write that the candidate lacks.
@@ -420,9 +437,9 @@
 /// One that is announced may have acknowledged a moment ago. One that is not, and may be cut off
 /// from the store alone, is passed over here if the candidate holds all that the primary is known
 /// to have had; [`without_old`] then requires that the primary has stopped.
-fn unheard(member: &InstanceView, received: Point, known_end: Option<Point>) -> bool {
-    if member.state.is_some() {
+fn unheard(instance: &InstanceView, received: Point, known_end: Option<Point>) -> bool {
+    if instance.state.is_some() {
         return false;
     }
-    member.listed || known_end.is_none_or(|end| received < end)
+    instance.announced || known_end.is_none_or(|end| received < end)
 }
--- a/crates/policy/tests/election.rs
+++ b/crates/policy/tests/election.rs
@@ -20,7 +20,7 @@
 
 fn pauses(live: &[ProxyId]) -> Vec<Span> {
     let mut rng = StdRng::seed_from_u64(7);
-    let pause = |me| election::pause(me, live.iter(), &mut rng);
+    let pause = |me| election::candidacy_delay(me, live.iter(), &mut rng);
     live.iter().map(pause).collect()
 }
 
@@ -53,6 +53,6 @@
 fn a_proxy_that_knows_no_other_stands_at_once() {
     let me = &fleet(1)[0];
     let mut rng = StdRng::seed_from_u64(7);
-    let pause = election::pause(me, std::iter::empty(), &mut rng);
+    let pause = election::candidacy_delay(me, std::iter::empty(), &mut rng);
     assert!(pause <= Span::from_millis(30));
 }
--- a/crates/policy/tests/handover/look.rs
+++ b/crates/policy/tests/handover/look.rs
@@ -69,7 +69,7 @@
         kind => kind,
     };
     let mut look = the_look(world, this, change, members, long, cfg);
-    look.ordered = ordered.filter(|_| cfg.off != Some(Guard::Ordered)).map(id);
+    look.pending_order = ordered.filter(|_| cfg.off != Some(Guard::Ordered)).map(id);
     look.resume_pending = resume_pending;
     let step = decide(&look);
     if void.is_some() && world.left.repeats == 0 {
@@ -135,10 +135,10 @@
     let known = instances.filter(|(_, i)| i.listing != Listing::Unknown);
     let member = |(id, i): (Id, &Instance)| InstanceView {
         id: named(id, known_born(i)),
-        listed: i.listing == Listing::Listed,
+        announced: i.listing == Listing::Listed,
         leaving: has(world.leaving, id) && !i.hidden,
-        alive: i.runs && !has(world.cut, id) && !i.hidden,
-        near: true,
+        responded: i.runs && !has(world.cut, id) && !i.hidden,
+        same_region: true,
         state: (world.reached(id) && !i.hidden).then(|| i.state()),
     };
     known.map(member).collect()
@@ -166,15 +166,15 @@
 fn asked(world: &World, change: &mut Change, resume_pending: bool) -> Vec<InstanceView> {
     let mut members = members(world);
     let old = named(change.old, change.born);
-    let complete = members.iter().all(|m| m.listed || m.id == old);
+    let complete = members.iter().all(|m| m.announced || m.id == old);
     let doubted = change.kind == Kind::Doubted;
     let needless = change.silent && complete && doubted && !resume_pending;
     for m in members.iter_mut().filter(|m| m.id == old) {
         if needless {
             m.state = None;
-            m.alive = false;
+            m.responded = false;
         }
-        change.silent |= !m.alive;
+        change.silent |= !m.responded;
     }
     members
 }
@@ -199,27 +199,27 @@
         false => world.proved(),
     };
     Survey {
-        members,
-        old,
+        instances: members,
+        old_primary: old,
         cause: change.kind.cause(),
         known_end: Some(known_end),
         resume_pending: false,
-        ordered: None,
-        told_to_stop: change.told.then_some(told_for),
-        noted: change.in_store || cfg.off == Some(Guard::ChangeNoted),
+        pending_order: None,
+        since_demote: change.told.then_some(told_for),
+        intent_recorded: change.in_store || cfg.off == Some(Guard::ChangeNoted),
     }
 }
 
 fn decide(look: &Survey) -> Result<Decision, Step> {
     let set = |ids: &[InstanceId]| ids.iter().map(|id| bit(index(id))).sum();
-    let newest = takeover::newest_term(&look.members);
+    let newest = takeover::newest_term(&look.instances);
     let term = u8::try_from(newest.next().0).unwrap();
     match takeover::next_step(look) {
         Step::Pause(_, who) => Ok(Decision::Pause(term, set(&who))),
         Step::Demote(_, old) => Ok(Decision::Demote(term, index(&old))),
         Step::Promote(next) => {
-            let known = |m: &&InstanceView| m.state.is_some() || m.listed;
-            let known = look.members.iter().filter(known).map(|m| m.id.clone());
+            let known = |m: &&InstanceView| m.state.is_some() || m.announced;
+            let known = look.instances.iter().filter(known).map(|m| m.id.clone());
             let known = set(&known.collect::<Vec<_>>());
             Ok(Decision::Promote(index(&next), term, known))
         }
--- a/crates/policy/tests/handover/order.rs
+++ b/crates/policy/tests/handover/order.rs
@@ -91,11 +91,11 @@
     let under_way = world.orders.iter().any(|o| o.token == given.token);
     let since = match under_way && cfg.off != Some(Guard::Time) {
         true => Span::from_millis(0),
-        false => order::TAKES_EFFECT,
+        false => order::EFFECT_TIMEOUT,
     };
     let earlier = given.earlier && cfg.off != Some(Guard::Earlier);
     let forgets = led && cfg.off == Some(Guard::VoidEarlier);
-    if forgets || order::is_over(answer, earlier, led, since) {
+    if forgets || order::is_settled(answer, earlier, led, since) {
         forget_lead(world, at, given.token);
     }
 }
--- a/crates/policy/tests/order.rs
+++ b/crates/policy/tests/order.rs
@@ -24,7 +24,7 @@
     over: bool,
 ) {
     let since = Span::from_millis(since_ms);
-    assert_eq!(order::is_over(answer, earlier, led, since), over);
+    assert_eq!(order::is_settled(answer, earlier, led, since), over);
 }
 
 /// Guards against a note that is never deleted: an accepted order is over once its instance
@@ -32,5 +32,10 @@
 #[test]
 fn an_accepted_order_is_over_after_the_wait() {
     let answer = Some(OrderResponse::Accepted);
-    assert!(order::is_over(answer, true, false, order::wait(answer)));
+    assert!(order::is_settled(
+        answer,
+        true,
+        false,
+        order::leader_wait(answer)
+    ));
 }
--- a/crates/policy/tests/order_tracker.rs
+++ b/crates/policy/tests/order_tracker.rs
@@ -21,17 +21,20 @@
     };
     [InstanceView {
         id: id(name),
-        listed: true,
+        announced: true,
         leaving: false,
-        alive: true,
-        near: true,
+        responded: true,
+        same_region: true,
         state: Some(state),
     }]
 }
 
-fn late(name: &str, after: Option<Purpose>) -> Option<UnexpectedPrimary> {
+fn late(name: &str, last_purpose: Option<Purpose>) -> Option<UnexpectedPrimary> {
     let instance = id(name);
-    Some(UnexpectedPrimary { instance, after })
+    Some(UnexpectedPrimary {
+        instance,
+        last_purpose,
+    })
 }
 
 /// An order without an answer is carried out after the next one was given. Nobody could
--- a/crates/policy/tests/primary_monitor.rs
+++ b/crates/policy/tests/primary_monitor.rs
@@ -26,7 +26,7 @@
     };
     let mut watch = PrimaryMonitor::default();
     watch.set_entries(&[entry("p"), entry("a")]);
-    watch.proved(&id("p"), at(0));
+    watch.record_proof(&id("p"), at(0));
     watch
 }
 
@@ -35,7 +35,7 @@
 #[test]
 fn a_silent_primary_is_doubted() {
     let mut watch = watch();
-    watch.failed(&id("p"), ProbeFailure::Silent, at(600));
+    watch.record_failure(&id("p"), ProbeFailure::Silent, at(600));
     assert_eq!(watch.suspicion(at(700)), None);
     assert_eq!(
         watch.suspicion(at(850)),
@@ -48,9 +48,9 @@
 #[test]
 fn a_reset_is_no_doubt() {
     let mut watch = watch();
-    watch.suspect(&id("p"), at(600));
-    watch.failed(&id("p"), ProbeFailure::Down, at(601));
-    watch.proved(&id("p"), at(640));
+    watch.connection_failed(&id("p"), at(600));
+    watch.record_failure(&id("p"), ProbeFailure::Down, at(601));
+    watch.record_proof(&id("p"), at(640));
     assert_eq!(watch.suspicion(at(1_000)), None);
 }
 
@@ -60,7 +60,7 @@
 fn a_full_primary_is_no_doubt() {
     let mut watch = watch();
     for ms in [600, 700, 800, 900] {
-        watch.failed(&id("p"), ProbeFailure::Full, at(ms));
+        watch.record_failure(&id("p"), ProbeFailure::Full, at(ms));
     }
     assert_eq!(watch.suspicion(at(2_000)), None);
 }
@@ -71,15 +71,15 @@
 #[test]
 fn writes_that_do_not_end_are_a_doubt() {
     let mut watch = watch();
-    watch.stalled(&id("p"), at(2_400));
+    watch.record_stall(&id("p"), at(2_400));
     assert_eq!(watch.suspicion(at(2_450)), None);
-    watch.stalled(&id("p"), at(2_500));
-    watch.proved(&id("p"), at(2_550));
+    watch.record_stall(&id("p"), at(2_500));
+    watch.record_proof(&id("p"), at(2_550));
     assert_eq!(
         watch.suspicion(at(2_600)),
         Some((id("p"), Suspicion::Stalled))
     );
-    watch.wrote(&id("p"));
+    watch.record_write(&id("p"));
     assert_eq!(watch.suspicion(at(2_650)), None);
 }
 
@@ -88,9 +88,9 @@
 #[test]
 fn a_new_primary_is_given_time() {
     let mut watch = watch();
-    watch.proved(&id("a"), at(5_000));
-    watch.stalled(&id("a"), at(5_600));
-    watch.stalled(&id("a"), at(5_700));
+    watch.record_proof(&id("a"), at(5_000));
+    watch.record_stall(&id("a"), at(5_600));
+    watch.record_stall(&id("a"), at(5_700));
     assert_eq!(watch.suspicion(at(5_800)), None);
 }
 
@@ -99,8 +99,8 @@
 #[test]
 fn an_earlier_answer_does_not_clear_a_doubt() {
     let mut watch = watch();
-    watch.failed(&id("p"), ProbeFailure::Silent, at(600));
-    watch.proved(&id("p"), at(590));
+    watch.record_failure(&id("p"), ProbeFailure::Silent, at(600));
+    watch.record_proof(&id("p"), at(590));
     assert_eq!(
         watch.suspicion(at(900)),
         Some((id("p"), Suspicion::Unreachable))
@@ -112,8 +112,8 @@
 #[test]
 fn without_a_primary_all_are_asked() {
     let mut watch = watch();
-    watch.failed(&id("p"), ProbeFailure::Silent, at(600));
-    let mut asked = watch.ask(None, Some(at(0)), at(1_100));
+    watch.record_failure(&id("p"), ProbeFailure::Silent, at(600));
+    let mut asked = watch.start_probes(None, Some(at(0)), at(1_100));
     asked.sort();
     assert_eq!(asked, [id("a"), id("p")]);
 }
@@ -124,11 +124,11 @@
     let mut watch = watch();
     assert!(
         watch
-            .ask(Some(&id("p")), Some(at(900)), at(1_000))
+            .start_probes(Some(&id("p")), Some(at(900)), at(1_000))
             .is_empty()
     );
     assert_eq!(
-        watch.ask(Some(&id("p")), Some(at(700)), at(1_000)),
+        watch.start_probes(Some(&id("p")), Some(at(700)), at(1_000)),
         [id("p")]
     );
 }
@@ -139,7 +139,7 @@
 #[test]
 fn a_doubt_ends_when_nobody_looks_any_more() {
     let mut watch = watch();
-    watch.failed(&id("p"), ProbeFailure::Silent, at(1_000));
+    watch.record_failure(&id("p"), ProbeFailure::Silent, at(1_000));
     assert!(watch.suspicion(at(1_300)).is_some());
     assert!(watch.suspicion(at(2_400)).is_some());
     assert_eq!(watch.suspicion(at(2_600)), None);
--- a/crates/policy/tests/quorum.rs
+++ b/crates/policy/tests/quorum.rs
@@ -10,11 +10,11 @@
         let instance: InstanceId = instance.parse().unwrap();
         (proxy.parse::<ProxyId>().unwrap(), instance)
     };
-    let by: IndexMap<_, _> = of.iter().map(parse).collect();
+    let by_proxy: IndexMap<_, _> = of.iter().map(parse).collect();
     Suspicions {
-        by,
+        by_proxy,
         primary: primary.map(instance),
-        settling: None,
+        recently_promoted: None,
         holders,
     }
 }
@@ -28,8 +28,8 @@
 #[test_case(6, 2)]
 #[test_case(9, 3)]
 #[test_case(65, 22)]
-fn a_third_of_the_holders_must_agree(holders: usize, needed: usize) {
-    assert_eq!(quorum::needed(holders), needed);
+fn a_third_of_the_holders_must_agree(holders: usize, required: usize) {
+    assert_eq!(quorum::required(holders), required);
 }
 
 /// One proxy of nine is cut off from a healthy primary. Nothing changes for the callers of
@@ -66,10 +66,10 @@
 #[test]
 fn an_instance_that_was_just_made_primary_is_not_doubted() {
     let mut doubts = doubts(&[("a", "back"), ("b", "back")], Some("back"), 3);
-    doubts.settling = Some(instance("back"));
+    doubts.recently_promoted = Some(instance("back"));
     assert_eq!(quorum::suspected(&doubts, |_| true), None);
     doubts.primary = None;
     assert_eq!(quorum::suspected(&doubts, |_| true), None);
-    doubts.settling = None;
+    doubts.recently_promoted = None;
     assert_eq!(quorum::suspected(&doubts, |_| true), Some(instance("back")));
 }
--- a/crates/policy/tests/replica_ack.rs
+++ b/crates/policy/tests/replica_ack.rs
@@ -28,7 +28,7 @@
 #[test_case("a", Point::new(3, 12), false; "its log may have parted before the write")]
 #[test_case("p", Point::new(2, 9), false; "it is the primary itself, which was told to stop")]
 fn only_a_replica_with_the_same_log_proves_a_write(replica: &str, received: Point, held: bool) {
-    assert_eq!(write(2, 9).is_held(&id(replica), received), held);
+    assert_eq!(write(2, 9).is_held_by(&id(replica), received), held);
 }
 
 /// Guards against counting a connection that was opened after a change of primary began, to an
@@ -37,11 +37,11 @@
 fn only_connections_opened_before_a_moment_without_a_change_count() {
     let mut counted = EligibleBefore::default();
     assert!(!counted.is_eligible(at(0)));
-    counted.checked(at(50));
+    counted.record_no_change(at(50));
     assert!(counted.is_eligible(at(49)));
     assert!(!counted.is_eligible(at(50)));
     // An answer that was overtaken takes nothing back.
-    counted.checked(at(40));
+    counted.record_no_change(at(40));
     assert!(counted.is_eligible(at(49)));
 }
 
@@ -53,10 +53,10 @@
     for (number, give_up) in [(7, 100), (8, 20), (9, 100)] {
         unproven.add(write(1, number), at(give_up), number);
     }
-    assert_eq!(unproven.held(&id("a"), Point::new(1, 7)), [7]);
-    assert_eq!(unproven.expired(at(20)), [8]);
+    assert_eq!(unproven.take_held(&id("a"), Point::new(1, 7)), [7]);
+    assert_eq!(unproven.take_expired(at(20)), [8]);
     assert!(!unproven.is_empty());
-    assert_eq!(unproven.held(&id("a"), Point::new(1, 10)), [9]);
+    assert_eq!(unproven.take_held(&id("a"), Point::new(1, 10)), [9]);
     assert!(unproven.is_empty());
 }
 
--- a/crates/policy/tests/takeover.rs
+++ b/crates/policy/tests/takeover.rs
@@ -23,32 +23,32 @@
     })
 }
 
-fn member(name: &str, state: Option<State>) -> InstanceView {
+fn instance(name: &str, state: Option<State>) -> InstanceView {
     InstanceView {
         id: id(name),
-        listed: true,
+        announced: true,
         leaving: false,
-        alive: state.is_some(),
-        near: true,
+        responded: state.is_some(),
+        same_region: true,
         state,
     }
 }
 
-fn look(members: &[InstanceView], cause: Cause, end: Option<u64>) -> Survey {
+fn survey(instances: &[InstanceView], cause: Cause, end: Option<u64>) -> Survey {
     Survey {
-        members: members.to_vec(),
-        old: id("p"),
+        instances: instances.to_vec(),
+        old_primary: id("p"),
         cause,
         known_end: end.map(|n| Point::new(1, n)),
         resume_pending: false,
-        ordered: None,
-        told_to_stop: None,
-        noted: true,
+        pending_order: None,
+        since_demote: None,
+        intent_recorded: true,
     }
 }
 
-fn doubted(members: &[InstanceView], end: Option<u64>) -> Step {
-    takeover::next_step(&look(members, Cause::Doubted, end))
+fn doubted(instances: &[InstanceView], end: Option<u64>) -> Step {
+    takeover::next_step(&survey(instances, Cause::Doubted, end))
 }
 
 /// A primary dies while one replica has received nothing for a while. A write was
@@ -57,16 +57,16 @@
 #[test]
 fn names_the_replica_that_holds_most() {
     let before = [
-        member("p", None),
-        member("a", state(Role::Replica, 36, 0)),
-        member("b", state(Role::Replica, 97, 0)),
+        instance("p", None),
+        instance("a", state(Role::Replica, 36, 0)),
+        instance("b", state(Role::Replica, 97, 0)),
     ];
     let stop = Step::Pause(Term(2), vec![id("a")]);
     assert_eq!(doubted(&before, Some(97)), stop);
     let after = [
-        member("p", None),
-        member("a", state(Role::Replica, 36, 2)),
-        member("b", state(Role::Replica, 97, 0)),
+        instance("p", None),
+        instance("a", state(Role::Replica, 36, 2)),
+        instance("b", state(Role::Replica, 97, 0)),
     ];
     assert_eq!(doubted(&after, Some(97)), Step::Promote(id("b")));
 }
@@ -76,24 +76,24 @@
 /// primary alone holds was not acknowledged, so it need not answer.
 #[test]
 fn does_not_wait_for_the_doubted_primary() {
-    let members = [
-        member("p", None),
-        member("a", state(Role::Replica, 5, 2)),
-        member("b", state(Role::Replica, 5, 2)),
+    let instances = [
+        instance("p", None),
+        instance("a", state(Role::Replica, 5, 2)),
+        instance("b", state(Role::Replica, 5, 2)),
     ];
-    assert_eq!(doubted(&members, Some(5)), Step::Promote(id("a")));
+    assert_eq!(doubted(&instances, Some(5)), Step::Promote(id("a")));
 }
 
 /// A replica does not answer while the primary is dead. It may be the one that received
 /// the last acknowledged write, so nobody is named as long as it is announced.
 #[test]
 fn waits_for_a_replica_that_may_hold_a_write() {
-    let members = [
-        member("p", None),
-        member("a", state(Role::Replica, 5, 0)),
-        member("b", None),
+    let instances = [
+        instance("p", None),
+        instance("a", state(Role::Replica, 5, 0)),
+        instance("b", None),
     ];
-    assert_eq!(doubted(&members, Some(5)), Step::Wait(WaitCause::Unheard));
+    assert_eq!(doubted(&instances, Some(5)), Step::Wait(WaitCause::Unheard));
 }
 
 /// The same replica is no longer announced, and the primary has been silent for so long that it
@@ -103,9 +103,12 @@
 #[test_case(Some(6), &Step::Wait(WaitCause::Unheard); "lacks what was seen")]
 #[test_case(None, &Step::Wait(WaitCause::Unheard); "nothing was seen")]
 fn passes_over_a_replica_that_is_gone(end: Option<u64>, step: &Step) {
-    let mut members = [member("a", state(Role::Replica, 5, 0)), member("b", None)];
-    members[1].listed = false;
-    assert_eq!(doubted(&members, end), *step);
+    let mut instances = [
+        instance("a", state(Role::Replica, 5, 0)),
+        instance("b", None),
+    ];
+    instances[1].announced = false;
+    assert_eq!(doubted(&instances, end), *step);
 }
 
 /// Callers had writes acknowledged that were gone milliseconds later, while links between regions
@@ -114,14 +117,14 @@
 /// region was named, which had received a little less. A lapsed entry stops nobody.
 #[test]
 fn instances_that_live_without_an_entry_may_still_acknowledge() {
-    let mut members = [
-        member("p", None),
-        member("a", state(Role::Replica, 5, 0)),
-        member("b", None),
+    let mut instances = [
+        instance("p", None),
+        instance("a", state(Role::Replica, 5, 0)),
+        instance("b", None),
     ];
-    members[0].listed = false;
-    members[2].listed = false;
-    assert_eq!(doubted(&members, Some(5)), Step::Wait(WaitCause::Unheard));
+    instances[0].announced = false;
+    instances[2].announced = false;
+    assert_eq!(doubted(&instances, Some(5)), Step::Wait(WaitCause::Unheard));
 }
 
 /// A primary is taken out of service. The old one goes on until the new one leads, so
@@ -129,20 +132,20 @@
 /// acknowledged through the candidate alone.
 #[test]
 fn keeps_the_leaving_primary_at_work() {
-    let mut primary = member("p", state(Role::Primary, 9, 0));
+    let mut primary = instance("p", state(Role::Primary, 9, 0));
     primary.leaving = true;
     let replicas = |paused| {
         [
-            member("a", state(Role::Replica, 9, 0)),
-            member("b", state(Role::Replica, 8, paused)),
+            instance("a", state(Role::Replica, 9, 0)),
+            instance("b", state(Role::Replica, 8, paused)),
         ]
     };
     let step = |paused| {
-        let members: Vec<_> = [primary.clone()]
+        let instances: Vec<_> = [primary.clone()]
             .into_iter()
             .chain(replicas(paused))
             .collect();
-        takeover::next_step(&look(&members, Cause::Leaving, Some(9)))
+        takeover::next_step(&survey(&instances, Cause::Leaving, Some(9)))
     };
     assert_eq!(step(0), Step::Pause(Term(2), vec![id("b")]));
     assert_eq!(step(2), Step::Promote(id("a")));
@@ -152,14 +155,14 @@
 /// leaving one is named: it takes its log with it when it goes.
 #[test]
 fn names_a_leaving_replica_that_alone_holds_the_log() {
-    let mut leaving = member("a", state(Role::Replica, 9, 2));
+    let mut leaving = instance("a", state(Role::Replica, 9, 2));
     leaving.leaving = true;
-    let members = [
-        member("p", None),
+    let instances = [
+        instance("p", None),
         leaving,
-        member("b", state(Role::Replica, 7, 2)),
+        instance("b", state(Role::Replica, 7, 2)),
     ];
-    assert_eq!(doubted(&members, Some(9)), Step::Promote(id("a")));
+    assert_eq!(doubted(&instances, Some(9)), Step::Promote(id("a")));
 }
 
 /// An acknowledged write was lost: a primary was doubted because its writes stalled, and an
@@ -168,25 +171,25 @@
 /// new primary did not have. So an old primary that lives first stops leading.
 #[test]
 fn a_living_primary_stops_first_if_a_replica_may_come_back() {
-    let members = |old| {
-        let mut gone = member("g", None);
-        gone.listed = false;
+    let instances = |old| {
+        let mut gone = instance("g", None);
+        gone.announced = false;
         [
-            member("p", old),
-            member("a", state(Role::Replica, 9, 0)),
+            instance("p", old),
+            instance("a", state(Role::Replica, 9, 0)),
             gone,
         ]
     };
-    let leads = members(state(Role::Primary, 9, 0));
+    let leads = instances(state(Role::Primary, 9, 0));
     assert_eq!(doubted(&leads, Some(9)), Step::Demote(Term(2), id("p")));
     assert_eq!(
-        doubted(&members(None), Some(9)),
+        doubted(&instances(None), Some(9)),
         Step::Wait(WaitCause::Unheard)
     );
-    let stopped = members(state(Role::Replica, 9, 0));
-    let mut look = look(&stopped, Cause::Doubted, Some(9));
-    look.told_to_stop = Some(Span::from_millis(300));
-    assert_eq!(takeover::next_step(&look), Step::Promote(id("a")));
+    let stopped = instances(state(Role::Replica, 9, 0));
+    let mut survey = survey(&stopped, Cause::Doubted, Some(9));
+    survey.since_demote = Some(Span::from_millis(300));
+    assert_eq!(takeover::next_step(&survey), Step::Promote(id("a")));
 }
 
 /// An acknowledged write was lost: an order to receive again had no answer and was carried
@@ -198,24 +201,27 @@
 #[test_case(state(Role::Primary, 9, 0), &Step::Demote(Term(2), id("p")); "it lives")]
 #[test_case(state(Role::Replica, 9, 0), &Step::Promote(id("a")); "it has stopped")]
 fn a_pending_resume_needs_a_primary_that_has_stopped(old: Option<State>, step: &Step) {
-    let members = [
-        member("p", old),
-        member("a", state(Role::Replica, 9, 0)),
-        member("b", state(Role::Replica, 9, 2)),
+    let instances = [
+        instance("p", old),
+        instance("a", state(Role::Replica, 9, 0)),
+        instance("b", state(Role::Replica, 9, 2)),
     ];
-    let mut look = look(&members, Cause::Doubted, Some(9));
-    look.resume_pending = true;
-    look.told_to_stop = look.members[0].state.map(|_| Span::from_millis(300));
-    assert_eq!(takeover::next_step(&look), *step);
+    let mut survey = survey(&instances, Cause::Doubted, Some(9));
+    survey.resume_pending = true;
+    survey.since_demote = survey.instances[0].state.map(|_| Span::from_millis(300));
+    assert_eq!(takeover::next_step(&survey), *step);
 }
 
 /// The same without another replica: nobody else can acknowledge a write.
 #[test]
 fn a_pending_resume_does_not_hold_up_a_single_replica() {
-    let members = [member("p", None), member("a", state(Role::Replica, 9, 0))];
-    let mut look = look(&members, Cause::Doubted, Some(9));
-    look.resume_pending = true;
-    assert_eq!(takeover::next_step(&look), Step::Promote(id("a")));
+    let instances = [
+        instance("p", None),
+        instance("a", state(Role::Replica, 9, 0)),
+    ];
+    let mut survey = survey(&instances, Cause::Doubted, Some(9));
+    survey.resume_pending = true;
+    assert_eq!(takeover::next_step(&survey), Step::Promote(id("a")));
 }
 
 /// An acknowledged write was lost: the primary was cut off from its replicas and lived. While
@@ -224,25 +230,25 @@
 /// primary that lives stops leading first. Its writes do not end anyway.
 #[test]
 fn a_doubted_primary_that_lives_stops_first() {
-    let members = |old: InstanceView| {
+    let instances = |old: InstanceView| {
         [
             old,
-            member("a", state(Role::Replica, 9, 0)),
-            member("b", state(Role::Replica, 9, 2)),
+            instance("a", state(Role::Replica, 9, 0)),
+            instance("b", state(Role::Replica, 9, 2)),
         ]
     };
     let demote = Step::Demote(Term(2), id("p"));
-    let lives = members(member("p", state(Role::Primary, 12, 0)));
+    let lives = instances(instance("p", state(Role::Primary, 12, 0)));
     assert_eq!(doubted(&lives, Some(9)), demote);
     // It answered that it has no slot for the question.
-    let mut busy = member("p", None);
-    busy.alive = true;
-    let busy = members(busy);
+    let mut busy = instance("p", None);
+    busy.responded = true;
+    let busy = instances(busy);
     assert_eq!(doubted(&busy, Some(9)), demote);
     // It was told, and still has no slot: its callers wait for the change.
-    let mut look = look(&busy, Cause::Doubted, Some(9));
-    look.told_to_stop = Some(Span::from_millis(300));
-    assert_eq!(takeover::next_step(&look), Step::Promote(id("a")));
+    let mut survey = survey(&busy, Cause::Doubted, Some(9));
+    survey.since_demote = Some(Span::from_millis(300));
+    assert_eq!(takeover::next_step(&survey), Step::Promote(id("a")));
 }
 
 /// A planned change goes on acknowledging through the candidate alone. One that is cut off
@@ -250,15 +256,15 @@
 /// acknowledge what it lacks. So it must hold what the primary held a moment ago.
 #[test]
 fn a_candidate_of_a_planned_change_keeps_up() {
-    let mut primary = member("p", state(Role::Primary, 12, 0));
+    let mut primary = instance("p", state(Role::Primary, 12, 0));
     primary.leaving = true;
     let step = |received| {
-        let members = [
+        let instances = [
             primary.clone(),
-            member("a", state(Role::Replica, received, 0)),
-            member("b", state(Role::Replica, 9, 2)),
+            instance("a", state(Role::Replica, received, 0)),
+            instance("b", state(Role::Replica, 9, 2)),
         ];
-        takeover::next_step(&look(&members, Cause::Leaving, Some(11)))
+        takeover::next_step(&survey(&instances, Cause::Leaving, Some(11)))
     };
     assert_eq!(step(10), Step::Wait(WaitCause::CatchingUp));
     assert_eq!(step(11), Step::Promote(id("a")));
@@ -269,12 +275,12 @@
 /// elsewhere that it lacks.
 #[test]
 fn a_planned_change_names_a_replica_near_the_primary() {
-    let mut far = member("a", state(Role::Replica, 12, 2));
-    far.near = false;
-    let mut primary = member("p", state(Role::Primary, 12, 0));
+    let mut far = instance("a", state(Role::Replica, 12, 2));
+    far.same_region = false;
+    let mut primary = instance("p", state(Role::Primary, 12, 0));
     primary.leaving = true;
-    let members = [primary, far, member("b", state(Role::Replica, 12, 2))];
-    let step = takeover::next_step(&look(&members, Cause::Leaving, Some(12)));
+    let instances = [primary, far, instance("b", state(Role::Replica, 12, 2))];
+    let step = takeover::next_step(&survey(&instances, Cause::Leaving, Some(12)));
     assert_eq!(step, Step::Promote(id("b")));
 }
 
@@ -284,23 +290,30 @@
 #[test_case(Cause::Leaving; "leaving")]
 #[test_case(Cause::Unfinished; "unfinished")]
 fn only_the_instance_of_a_pending_order_is_named(cause: Cause) {
-    let mut primary = member(
+    let mut primary = instance(
         "p",
         state(Role::Primary, 9, 0).filter(|_| cause != Cause::Doubted),
     );
     primary.leaving = cause == Cause::Leaving;
     let step = |a: InstanceView| {
-        let members = [primary.clone(), a, member("b", state(Role::Replica, 9, 2))];
-        let mut look = look(&members, cause, Some(9));
-        look.ordered = Some(id("a"));
-        takeover::next_step(&look)
+        let instances = [
+            primary.clone(),
+            a,
+            instance("b", state(Role::Replica, 9, 2)),
+        ];
+        let mut survey = survey(&instances, cause, Some(9));
+        survey.pending_order = Some(id("a"));
+        takeover::next_step(&survey)
     };
-    let mut leaving = member("a", state(Role::Replica, 9, 0));
+    let mut leaving = instance("a", state(Role::Replica, 9, 0));
     leaving.leaving = true;
     assert_eq!(step(leaving), Step::Promote(id("a")));
-    assert_eq!(step(member("a", None)), Step::Wait(WaitCause::OrderPending));
-    let mut gone = member("a", None);
-    gone.listed = false;
+    assert_eq!(
+        step(instance("a", None)),
+        Step::Wait(WaitCause::OrderPending)
+    );
+    let mut gone = instance("a", None);
+    gone.announced = false;
     assert_eq!(step(gone), Step::Wait(WaitCause::OrderPending));
 }
 
@@ -310,30 +323,30 @@
 #[test_case(Cause::Lagging; "lagging")]
 #[test_case(Cause::Unfinished; "unfinished")]
 fn others_are_stopped_while_the_ordered_instance_is_silent(cause: Cause) {
-    let members = [
-        member("p", None),
-        member("a", None),
-        member("b", state(Role::Replica, 9, 2)),
-        member("n", state(Role::Replica, 9, 0)),
+    let instances = [
+        instance("p", None),
+        instance("a", None),
+        instance("b", state(Role::Replica, 9, 2)),
+        instance("n", state(Role::Replica, 9, 0)),
     ];
-    let mut look = look(&members, cause, Some(9));
-    look.ordered = Some(id("a"));
+    let mut survey = survey(&instances, cause, Some(9));
+    survey.pending_order = Some(id("a"));
     let stop = Step::Pause(Term(2), vec![id("n")]);
-    assert_eq!(takeover::next_step(&look), stop);
+    assert_eq!(takeover::next_step(&survey), stop);
 }
 
 /// Guards against waiting for an instance that has lost its log in a restart: its pending
 /// order would take everything back. The order for another one makes it void.
 #[test]
 fn an_ordered_instance_that_lost_its_log_is_passed_over() {
-    let members = [
-        member("p", None),
-        member("a", state(Role::Replica, 0, 2)),
-        member("b", state(Role::Replica, 9, 2)),
+    let instances = [
+        instance("p", None),
+        instance("a", state(Role::Replica, 0, 2)),
+        instance("b", state(Role::Replica, 9, 2)),
     ];
-    let mut look = look(&members, Cause::Doubted, Some(9));
-    look.ordered = Some(id("a"));
-    assert_eq!(takeover::next_step(&look), Step::Promote(id("b")));
+    let mut survey = survey(&instances, Cause::Doubted, Some(9));
+    survey.pending_order = Some(id("a"));
+    assert_eq!(takeover::next_step(&survey), Step::Promote(id("b")));
 }
 
 /// Guards against a primary that is well and told to stop, when all that is left to do is to
@@ -341,19 +354,19 @@
 #[test_case(true; "an order to receive is pending")]
 #[test_case(false; "a replica is gone")]
 fn a_pending_order_is_repeated_without_stopping_the_primary(resume_pending: bool) {
-    let mut gone = member("b", None);
-    gone.listed = false;
+    let mut gone = instance("b", None);
+    gone.announced = false;
     let other = if resume_pending {
-        member("b", state(Role::Replica, 9, 2))
+        instance("b", state(Role::Replica, 9, 2))
     } else {
         gone
     };
-    let primary = member("p", state(Role::Primary, 9, 0));
-    let members = [primary, member("a", state(Role::Replica, 9, 0)), other];
-    let mut look = look(&members, Cause::Unfinished, Some(9));
-    look.ordered = Some(id("a"));
-    look.resume_pending = resume_pending;
-    assert_eq!(takeover::next_step(&look), Step::Promote(id("a")));
+    let primary = instance("p", state(Role::Primary, 9, 0));
+    let instances = [primary, instance("a", state(Role::Replica, 9, 0)), other];
+    let mut survey = survey(&instances, Cause::Unfinished, Some(9));
+    survey.pending_order = Some(id("a"));
+    survey.resume_pending = resume_pending;
+    assert_eq!(takeover::next_step(&survey), Step::Promote(id("a")));
 }
 
 /// Guards against an old primary that follows another one already, as an order was carried out
@@ -362,13 +375,16 @@
 #[test]
 fn an_old_primary_that_follows_is_stopped_like_a_replica() {
     let step = |old, missing: &[&str]| {
-        let mut members = vec![member("b", state(Role::Replica, 9, 2)), member("p", old)];
+        let mut instances = vec![
+            instance("b", state(Role::Replica, 9, 2)),
+            instance("p", old),
+        ];
         for name in missing {
-            let mut gone = member(name, None);
-            gone.listed = false;
-            members.push(gone);
+            let mut gone = instance(name, None);
+            gone.announced = false;
+            instances.push(gone);
         }
-        doubted(&members, Some(9))
+        doubted(&instances, Some(9))
     };
     let follows = state(Role::Replica, 9, 0);
     let stopped = state(Role::Replica, 9, 2);
@@ -384,20 +400,20 @@
 /// has stopped and answers, holds it, and nobody else does.
 #[test]
 fn a_stopped_primary_that_alone_may_hold_a_write_leads_again() {
-    let mut gone = member("b", None);
-    gone.listed = false;
+    let mut gone = instance("b", None);
+    gone.announced = false;
     let step = |other: InstanceView| {
-        let members = [
-            member("p", state(Role::Replica, 12, 0)),
-            member("a", state(Role::Replica, 9, 2)),
+        let instances = [
+            instance("p", state(Role::Replica, 12, 0)),
+            instance("a", state(Role::Replica, 9, 2)),
             other,
         ];
-        let mut look = look(&members, Cause::Doubted, Some(9));
-        look.told_to_stop = Some(Span::from_millis(300));
-        takeover::next_step(&look)
+        let mut survey = survey(&instances, Cause::Doubted, Some(9));
+        survey.since_demote = Some(Span::from_millis(300));
+        takeover::next_step(&survey)
     };
     assert_eq!(step(gone), Step::Promote(id("p")));
-    let heard = member("b", state(Role::Replica, 9, 2));
+    let heard = instance("b", state(Role::Replica, 9, 2));
     assert_eq!(step(heard), Step::Promote(id("a")));
 }
 
@@ -405,60 +421,60 @@
 /// which has stopped: that order is repeated like any other.
 #[test]
 fn a_pending_order_for_the_old_primary_is_repeated() {
-    let mut gone = member("b", None);
-    gone.listed = false;
-    let members = [
-        member("p", state(Role::Replica, 12, 0)),
-        member("a", state(Role::Replica, 9, 2)),
+    let mut gone = instance("b", None);
+    gone.announced = false;
+    let instances = [
+        instance("p", state(Role::Replica, 12, 0)),
+        instance("a", state(Role::Replica, 9, 2)),
         gone,
     ];
-    let mut look = look(&members, Cause::Doubted, Some(9));
-    look.told_to_stop = Some(Span::from_millis(300));
-    look.ordered = Some(id("p"));
-    assert_eq!(takeover::next_step(&look), Step::Promote(id("p")));
+    let mut survey = survey(&instances, Cause::Doubted, Some(9));
+    survey.since_demote = Some(Span::from_millis(300));
+    survey.pending_order = Some(id("p"));
+    assert_eq!(takeover::next_step(&survey), Step::Promote(id("p")));
 }
 
 /// Guards against waiting for an old primary that an earlier change told to stop, and that holds
 /// what nobody has received, instead of repeating the order of that change.
 #[test]
 fn what_an_old_primary_alone_holds_does_not_hold_up_a_pending_order() {
-    let members = [
-        member("p", state(Role::Replica, 12, 0)),
-        member("a", state(Role::Replica, 9, 0)),
-        member("b", state(Role::Replica, 9, 2)),
+    let instances = [
+        instance("p", state(Role::Replica, 12, 0)),
+        instance("a", state(Role::Replica, 9, 0)),
+        instance("b", state(Role::Replica, 9, 2)),
     ];
-    let mut look = look(&members, Cause::Doubted, Some(9));
-    look.ordered = Some(id("a"));
-    assert_eq!(takeover::next_step(&look), Step::Promote(id("a")));
+    let mut survey = survey(&instances, Cause::Doubted, Some(9));
+    survey.pending_order = Some(id("a"));
+    assert_eq!(takeover::next_step(&survey), Step::Promote(id("a")));
 }
 
 /// Guards against a group that is left without a primary once the pending order has lapsed: the
 /// old primary had been told to stop, and nobody doubts an instance that is forgotten.
 #[test]
 fn a_change_goes_on_without_a_primary_when_its_order_has_lapsed() {
-    let members = [
-        member("a", state(Role::Replica, 9, 2)),
-        member("b", state(Role::Replica, 9, 2)),
+    let instances = [
+        instance("a", state(Role::Replica, 9, 2)),
+        instance("b", state(Role::Replica, 9, 2)),
     ];
-    let look = look(&members, Cause::Unfinished, Some(9));
-    assert_eq!(takeover::next_step(&look), Step::Promote(id("a")));
+    let survey = survey(&instances, Cause::Unfinished, Some(9));
+    assert_eq!(takeover::next_step(&survey), Step::Promote(id("a")));
 }
 
 /// Guards against a change that is given up while its order may still be carried out.
 #[test]
 fn a_needless_change_is_completed_while_its_order_is_pending() {
-    let members = [
-        member("p", state(Role::Primary, 9, 0)),
-        member("a", state(Role::Replica, 9, 0)),
-        member("b", state(Role::Replica, 9, 2)),
+    let instances = [
+        instance("p", state(Role::Primary, 9, 0)),
+        instance("a", state(Role::Replica, 9, 0)),
+        instance("b", state(Role::Replica, 9, 2)),
     ];
-    let mut look = look(&members, Cause::Leaving, Some(9));
-    assert_eq!(takeover::next_step(&look), Step::Abandon);
-    look.ordered = Some(id("a"));
-    assert_eq!(takeover::next_step(&look), Step::Promote(id("a")));
-    look.cause = Cause::Unfinished;
-    look.ordered = None;
-    assert_eq!(takeover::next_step(&look), Step::Abandon);
+    let mut survey = survey(&instances, Cause::Leaving, Some(9));
+    assert_eq!(takeover::next_step(&survey), Step::Abandon);
+    survey.pending_order = Some(id("a"));
+    assert_eq!(takeover::next_step(&survey), Step::Promote(id("a")));
+    survey.cause = Cause::Unfinished;
+    survey.pending_order = None;
+    assert_eq!(takeover::next_step(&survey), Step::Abandon);
 }
 
 #[test]
@@ -477,7 +493,7 @@
     was_down: bool,
     /// Whether the old primary still acknowledges.
     leads: bool,
-    listed: bool,
+    announced: bool,
     log: u64,
     replicas: Vec<Replica>,
     acknowledged: u64,
@@ -492,7 +508,7 @@
     paused: u64,
     deaf: bool,
     dark: bool,
-    listed: bool,
+    announced: bool,
     /// Whether the coordinator knows of it.
     known: bool,
 }
@@ -547,14 +563,14 @@
             paused: 0,
             deaf: false,
             dark: false,
-            listed: true,
+            announced: true,
             known: true,
         };
         Self {
             alive: true,
             was_down: false,
             leads: true,
-            listed: true,
+            announced: true,
             log: 0,
             resume_pending: resume_pending.iter().map(|at| at % replicas).collect(),
             replicas: vec![replica; replicas],
@@ -572,34 +588,34 @@
         }
     }
 
-    fn members(&self) -> Vec<InstanceView> {
+    fn instances(&self) -> Vec<InstanceView> {
         let role = if self.leads {
             Role::Primary
         } else {
             Role::Replica
         };
         let old = state(role, self.log, 0).filter(|_| self.alive);
-        let mut members = vec![member("p", old)];
-        members[0].listed = self.listed;
+        let mut instances = vec![instance("p", old)];
+        instances[0].announced = self.announced;
         let known = self.replicas.iter().enumerate().filter(|(_, r)| r.known);
         for (at, replica) in known {
             let seen = state(Role::Replica, replica.received, replica.paused);
-            let mut seen = member(&format!("r{at}"), seen.filter(|_| !replica.dark));
-            seen.listed = replica.listed;
-            members.push(seen);
+            let mut seen = instance(&format!("r{at}"), seen.filter(|_| !replica.dark));
+            seen.announced = replica.announced;
+            instances.push(seen);
         }
-        members
+        instances
     }
 
     /// Takes one step of the coordinator; gives the instance that is named.
     fn step(&mut self) -> Option<usize> {
-        let mut look = look(&self.members(), Cause::Doubted, Some(self.acknowledged));
-        look.resume_pending = !self.resume_pending.is_empty();
+        let mut survey = survey(&self.instances(), Cause::Doubted, Some(self.acknowledged));
+        survey.resume_pending = !self.resume_pending.is_empty();
         // The wait after the order is long enough for every instance to be announced.
         let announced = self.replicas.iter().all(|r| r.known);
         let told = if announced { 1_000 } else { 0 };
-        look.told_to_stop = (!self.leads).then_some(Span::from_millis(told));
-        match takeover::next_step(&look) {
+        survey.since_demote = (!self.leads).then_some(Span::from_millis(told));
+        match takeover::next_step(&survey) {
             Step::Pause(term, who) => {
                 for at in 0..self.replicas.len() {
                     if who.contains(&id(&format!("r{at}"))) {
@@ -626,13 +642,13 @@
             Event::Dark(at) => self.replicas[at % n].dark = true,
             Event::Gone(at) => {
                 self.replicas[at % n].dark = true;
-                self.replicas[at % n].listed = false;
+                self.replicas[at % n].announced = false;
             }
             Event::PrimaryGone => {
                 self.was_down = true;
                 self.replicas.iter_mut().for_each(|r| r.known = true);
                 self.alive = false;
-                self.listed = false;
+                self.announced = false;
             }
             Event::Back(at) => {
                 self.replicas[at % n].deaf = false;
@@ -650,7 +666,7 @@
                 }
             }
             // One that is no longer announced does not come back within the time of an order.
-            Event::PrimaryBack => self.alive |= self.listed,
+            Event::PrimaryBack => self.alive |= self.announced,
             // Not covered: an instance that starts within a few hundred milliseconds of the
             // primary's end, before it is announced, or while a primary that was down comes
             // back during the order. Nobody knows of it who could tell it to stop.
@@ -661,7 +677,7 @@
                     paused: 0,
                     deaf: false,
                     dark: false,
-                    listed: true,
+                    announced: true,
                     known: false,
                 });
                 self.receive(n);
@@ -710,19 +726,20 @@
 /// not answer, or is another one already, changes nothing.
 #[test]
 fn lagging_replicas_are_helped_only_by_a_living_primary() {
-    let members = |old| {
+    let instances = |old| {
         [
-            member("p", old),
-            member("a", state(Role::Replica, 9, 0)),
-            member("b", state(Role::Replica, 9, 2)),
+            instance("p", old),
+            instance("a", state(Role::Replica, 9, 0)),
+            instance("b", state(Role::Replica, 9, 2)),
         ]
     };
-    let step =
-        |members: &[InstanceView]| takeover::next_step(&look(members, Cause::Lagging, Some(9)));
-    let well = members(state(Role::Primary, 9, 0));
+    let step = |instances: &[InstanceView]| {
+        takeover::next_step(&survey(instances, Cause::Lagging, Some(9)))
+    };
+    let well = instances(state(Role::Primary, 9, 0));
     assert_eq!(step(&well), Step::Promote(id("a")));
-    assert_eq!(step(&members(None)), Step::Wait(WaitCause::PrimarySilent));
-    let mut other = members(state(Role::Replica, 9, 0));
+    assert_eq!(step(&instances(None)), Step::Wait(WaitCause::PrimarySilent));
+    let mut other = instances(state(Role::Replica, 9, 0));
     other[1].state = state(Role::Primary, 9, 0);
     assert_eq!(step(&other), Step::Abandon);
 }
