--- a/crates/front/src/coordinator/takeover.rs
+++ b/crates/front/src/coordinator/takeover.rs
@@ -150,7 +150,7 @@
             old_primary: self.old.clone(),
             cause: self.cause,
             known_end,
-            resume_pending,
+            may_resume: resume_pending,
             pending_order: ordered,
             since_demote: told,
             intent_recorded: noted,
--- a/crates/policy/tests/handover/look.rs
+++ b/crates/policy/tests/handover/look.rs
@@ -70,7 +70,7 @@
     };
     let mut look = the_look(world, this, change, members, long, cfg);
     look.pending_order = ordered.filter(|_| cfg.off != Some(Guard::Ordered)).map(id);
-    look.resume_pending = resume_pending;
+    look.may_resume = resume_pending;
     let step = decide(&look);
     if void.is_some() && world.left.repeats == 0 {
         return None;
@@ -203,7 +203,7 @@
         old_primary: old,
         cause: change.kind.cause(),
         known_end: Some(known_end),
-        resume_pending: false,
+        may_resume: false,
         pending_order: None,
         since_demote: change.told.then_some(told_for),
         intent_recorded: change.in_store || cfg.off == Some(Guard::ChangeNoted),
