--- a/crates/front/src/coordinator/takeover.rs
+++ b/crates/front/src/coordinator/takeover.rs
@@ -117,14 +117,14 @@
     async fn go_on(&mut self, this: &Coordinator) -> bool {
         let group = self.links.group.clone();
         let id = group.group();
-        let noted = self.noting.is_known(this);
+        let intent_recorded = self.noting.is_known(this);
         order::forget_replaced(this, id).await;
         // Calls that lapse during the look may have been carried out after its answers.
-        let resume_pending = this.directory.with(|s| s.resume_pending(id, clock::now()));
-        let ordered = order::pending(this, id);
+        let may_resume = this.directory.with(|s| s.resume_pending(id, clock::now()));
+        let pending_order = order::pending(this, id);
         let known_end = group.view().await.end;
-        let members = self.look(this, resume_pending).await;
-        if done(&members, &self.old) {
+        let instances = self.look(this, may_resume).await;
+        if done(&instances, &self.old) {
             return self.end(if self.ordered {
                 Outcome::Led
             } else {
@@ -132,28 +132,28 @@
             });
         }
         if order::unreadable(this, id) {
-            self.wait(this, WaitCause::OrderPending, &members).await;
+            self.wait(this, WaitCause::OrderPending, &instances).await;
             return false;
         }
-        let primary = takeover::leader(&members).map(|m| &m.id);
-        if primary.is_some() && primary == ordered.as_ref() {
-            self.void_earlier(this, &members).await;
+        let primary = takeover::leader(&instances).map(|m| &m.id);
+        if primary.is_some() && primary == pending_order.as_ref() {
+            self.void_earlier(this, &instances).await;
             return false;
         }
         let trigger = this.trigger(&group).await.map(|(_, cause)| cause);
-        if self.recovered(trigger, ordered.is_some()) {
+        if self.recovered(trigger, pending_order.is_some()) {
             return self.end(Outcome::Abandoned);
         }
         let told = self.told_to_stop.map(|at| clock::now().since(at));
         let look = Survey {
-            instances: members,
+            instances,
             old_primary: self.old.clone(),
             cause: self.cause,
             known_end,
-            may_resume: resume_pending,
-            pending_order: ordered,
+            may_resume,
+            pending_order,
             since_demote: told,
-            intent_recorded: noted,
+            intent_recorded,
         };
         self.step(this, &look).await
     }
