--- a/crates/policy/src/primary_monitor.rs
+++ b/crates/policy/src/primary_monitor.rs
@@ -1,110 +1,110 @@
-//! Watch over a group's primary: whom to ask whether it leads, and when to doubt it.
+//! Monitoring of a group's primary: which instances to probe, and when to suspect the primary.
 //!
-//! Proofs come with every write, so a busy primary is asked nothing. One that is quiet is
-//! asked now and then, and without a primary all instances are asked, until one proves
-//! that it leads. A doubt alone changes nothing: it is told to the coordinator, which
-//! acts when enough proxies share it.
+//! Every write proves that the primary leads, so a busy primary is not probed. A quiet one is
+//! probed from time to time. Without a primary, all instances are probed until one proves that
+//! it leads. A suspicion alone changes nothing: it is reported to the coordinator, which acts
+//! once enough proxies share it.
 
 use indexmap::IndexMap;
 use model::entry::Entry;
 use model::id::InstanceId;
 use model::unit::{Span, Time};
 
-/// Age of the newest proof from which the primary is asked for another. Replicas lag by
-/// some tens of milliseconds, and reads accept ages from about a second on.
+/// Age of the newest proof from which the primary is probed. Replicas lag by some tens of
+/// milliseconds, and reads accept ages from about a second.
 const PROOF_AGE: Span = Span::from_millis(250);
 
-/// Pause between two questions to an instance that may lead.
-const LIKELY_EVERY: Span = Span::from_millis(100);
+/// Interval between two probes of an instance that may lead.
+const LIKELY_INTERVAL: Span = Span::from_millis(100);
 
-/// Pause between two questions to an instance that probably does not lead.
-const UNLIKELY_EVERY: Span = Span::from_millis(400);
+/// Interval between two probes of an instance that probably does not lead.
+const UNLIKELY_INTERVAL: Span = Span::from_millis(400);
 
-/// Time for which the primary must have failed before it is doubted. Shorter would take a
-/// reset of all connections, or a restart, for a failure.
-const FAILING: Span = Span::from_millis(200);
+/// Time for which the primary must have failed before it is suspected. With a shorter time, a
+/// reset of all connections or a restart would count as a failure.
+const MIN_FAILING_TIME: Span = Span::from_millis(200);
 
-/// Questions that must have failed as well. One that got no answer in time counts as two:
-/// neither an open connection nor a new one brought any.
-const FAILURES: u32 = 2;
+/// Probes that must have failed as well. A probe that timed out counts as two, because neither
+/// an open connection nor a new one brought a response.
+const MIN_FAILURES: u32 = 2;
 
-/// Time for which a failed question counts. While a primary fails it is asked all the while,
-/// and a question takes 0.8 s at most.
-const FAILURE_KEPT: Span = Span::from_millis(1_500);
+/// Time for which a failed probe counts. A failing primary is probed continuously, and a probe
+/// takes 0.8 s at most.
+const FAILURE_WINDOW: Span = Span::from_millis(1_500);
 
-/// Writes without an answer that make a primary doubtful although it answers: it cannot
-/// reach its replicas. One alone may have met a slow statement.
-const STALLS: u32 = 2;
+/// Stalled writes from which a primary is suspected although it responds to probes: it cannot
+/// reach its replicas. A single one may be due to a slow statement.
+const MIN_STALLS: u32 = 2;
 
 /// Time for which a stalled write counts.
-const STALL_KEPT: Span = Span::from_millis(2_000);
+const STALL_WINDOW: Span = Span::from_millis(2_000);
 
-/// Time for which stalled writes do not count against a new primary: its replicas first
-/// roll back what they had beyond its log, and acknowledge nothing meanwhile.
-const SETTLING: Span = Span::from_millis(2_000);
+/// Time for which stalled writes do not count against a new primary: its replicas first roll
+/// back what they had beyond its log and acknowledge nothing meanwhile.
+const STALL_GRACE: Span = Span::from_millis(2_000);
 
-/// Why the primary is doubted.
+/// Why the primary is suspected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum Suspicion {
-    /// It does not answer, or does not lead.
+    /// It does not respond, or does not lead.
     Unreachable,
-    /// It answers, and writes on it do not end.
+    /// It responds, but writes on it do not complete.
     Stalled,
 }
 
-/// What an instance answered when asked whether it leads.
+/// Why a probe did not prove that the instance leads.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProbeFailure {
     /// It does not lead.
     Follows,
-    /// No answer came in time, neither on an open connection nor on a new one.
+    /// No response arrived in time, neither on an open connection nor on a new one.
     Silent,
-    /// It is not there: connections are refused or reset.
+    /// Connections to it are refused or reset.
     Down,
-    /// It runs, and has no connection left for the question.
+    /// It is running, but has no free connection for the probe.
     Full,
 }
 
 #[derive(Clone, Debug, Default)]
 struct Candidate {
-    claims: bool,
-    asking: bool,
-    asked: Option<Time>,
+    claims_primary: bool,
+    probing: bool,
+    probed_at: Option<Time>,
 }
 
-/// The watch over one group.
+/// The monitor of one group.
 #[derive(Clone, Debug, Default)]
 pub struct PrimaryMonitor {
     candidates: IndexMap<InstanceId, Candidate>,
-    /// The instance that proved last that it leads.
+    /// The last instance that proved that it leads.
     leader: Option<InstanceId>,
     failing_since: Option<Time>,
-    /// When the last question to it failed.
+    /// When the last probe of the leader failed.
     failed_at: Time,
     failures: u32,
     stalls: u32,
     stalled_at: Time,
     /// Since when the leader leads, as far as this proxy knows.
-    led_since: Time,
-    /// An instance that was just made primary.
-    expected: Option<InstanceId>,
+    leader_since: Time,
+    /// An instance that was just promoted and has not yet proved that it leads.
+    promoted: Option<InstanceId>,
 }
 
 impl PrimaryMonitor {
-    /// Takes over the announced instances.
+    /// Updates the announced instances.
     pub fn set_entries(&mut self, entries: &[Entry]) {
         self.candidates
             .retain(|id, _| entries.iter().any(|e| e.id == *id));
         for entry in entries {
             let known = self.candidates.entry(entry.id.clone()).or_default();
-            if entry.claims_primary && !known.claims {
-                known.asked = None;
+            if entry.claims_primary && !known.claims_primary {
+                known.probed_at = None;
             }
-            known.claims = entry.claims_primary;
+            known.claims_primary = entry.claims_primary;
         }
     }
 
-    /// Forgets what was found out so far.
+    /// Discards everything that was found so far.
     pub fn reset(&mut self) {
         let candidates = std::mem::take(&mut self.candidates);
         *self = Self {
@@ -113,83 +113,86 @@
         };
     }
 
-    /// An instance was just made primary: it is asked first.
+    /// An instance was just promoted: it is probed first.
     pub fn expect_primary(&mut self, id: &InstanceId) {
-        self.expected = Some(id.clone());
+        self.promoted = Some(id.clone());
         if let Some(candidate) = self.candidates.get_mut(id) {
-            candidate.asked = None;
+            candidate.probed_at = None;
         }
     }
 
-    /// Whom to ask now; each of them is asked until [`PrimaryMonitor::probe_ended`].
+    /// Returns the instances to probe now; each counts as being probed until
+    /// [`PrimaryMonitor::probe_ended`].
     pub fn start_probes(
         &mut self,
         primary: Option<&InstanceId>,
-        proved: Option<Time>,
+        newest_proof: Option<Time>,
         now: Time,
     ) -> Vec<InstanceId> {
-        let well = primary.is_some() && self.failing_since.is_none();
-        let mut ask = Vec::new();
+        let healthy = primary.is_some() && self.failing_since.is_none();
+        let mut probes = Vec::new();
         for (id, candidate) in &mut self.candidates {
             let leads = primary == Some(id);
-            let expected = self.expected.as_ref() == Some(id);
-            let every = if candidate.claims || leads || expected {
-                LIKELY_EVERY
+            let promoted = self.promoted.as_ref() == Some(id);
+            let interval = if candidate.claims_primary || leads || promoted {
+                LIKELY_INTERVAL
             } else {
-                UNLIKELY_EVERY
+                UNLIKELY_INTERVAL
             };
-            let wanted = if well {
-                let old = proved.is_none_or(|at| now.since(at) >= PROOF_AGE);
-                (leads && old) || (expected && !leads)
+            let wanted = if healthy {
+                let outdated = newest_proof.is_none_or(|at| now.since(at) >= PROOF_AGE);
+                (leads && outdated) || (promoted && !leads)
             } else {
                 true
             };
-            let due = candidate.asked.is_none_or(|at| now.since(at) >= every);
-            if wanted && due && !candidate.asking {
-                candidate.asking = true;
-                candidate.asked = Some(now);
-                ask.push(id.clone());
+            let due = candidate
+                .probed_at
+                .is_none_or(|at| now.since(at) >= interval);
+            if wanted && due && !candidate.probing {
+                candidate.probing = true;
+                candidate.probed_at = Some(now);
+                probes.push(id.clone());
             }
         }
-        ask
+        probes
     }
 
-    /// A question ended, with an answer or without.
+    /// A probe ended, with or without a response.
     pub fn probe_ended(&mut self, id: &InstanceId) {
         if let Some(candidate) = self.candidates.get_mut(id) {
-            candidate.asking = false;
+            candidate.probing = false;
         }
     }
 
-    /// The instance proved that it leads; says whether this ends a doubt.
+    /// The instance proved that it leads; returns whether this ends a suspicion.
     pub fn record_proof(&mut self, id: &InstanceId, since: Time) -> bool {
-        // A proof that was asked for before the failure began says nothing about it.
+        // A proof requested before the failure began says nothing about the time since.
         let earlier = self.failing_since.is_some_and(|at| since < at);
         if earlier && self.leader.as_ref() == Some(id) {
             return false;
         }
-        let doubted = self.failing_since.take().is_some() && self.failures >= FAILURES;
+        let was_suspected = self.failing_since.take().is_some() && self.failures >= MIN_FAILURES;
         if self.leader.as_ref() != Some(id) {
             self.stalls = 0;
-            self.led_since = since;
+            self.leader_since = since;
         }
         self.leader = Some(id.clone());
-        self.expected.take_if(|e| e == id);
+        self.promoted.take_if(|e| e == id);
         self.failures = 0;
-        doubted
+        was_suspected
     }
 
-    /// The instance did not prove it.
-    pub fn record_failure(&mut self, id: &InstanceId, finding: ProbeFailure, now: Time) {
-        if finding == ProbeFailure::Full {
+    /// A probe of the instance did not prove that it leads.
+    pub fn record_failure(&mut self, id: &InstanceId, failure: ProbeFailure, now: Time) {
+        if failure == ProbeFailure::Full {
             return;
         }
-        let doubtful = match &self.leader {
+        let counts = match &self.leader {
             Some(leader) => leader == id,
-            None => self.candidates.get(id).is_some_and(|c| c.claims),
+            None => self.candidates.get(id).is_some_and(|c| c.claims_primary),
         };
-        if doubtful {
-            self.failures += if finding == ProbeFailure::Silent {
+        if counts {
+            self.failures += if failure == ProbeFailure::Silent {
                 2
             } else {
                 1
@@ -197,28 +200,28 @@
             self.failing_since.get_or_insert(now);
             self.failed_at = now;
         }
-        if finding == ProbeFailure::Follows {
-            self.expected.take_if(|e| e == id);
+        if failure == ProbeFailure::Follows {
+            self.promoted.take_if(|e| e == id);
         }
     }
 
-    /// A session saw a connection to the instance fail: the primary is asked at once.
+    /// A connection of a session to the instance failed: the primary is probed at once.
     pub fn connection_failed(&mut self, id: &InstanceId, now: Time) {
         if self.leader.as_ref() != Some(id) {
             return;
         }
         self.failing_since.get_or_insert(now);
         if let Some(candidate) = self.candidates.get_mut(id) {
-            candidate.asked = None;
+            candidate.probed_at = None;
         }
     }
 
-    /// A write on the instance has been without an answer for long.
+    /// A write on the instance has been without a response for long.
     pub fn record_stall(&mut self, id: &InstanceId, now: Time) {
-        if self.leader.as_ref() != Some(id) || now.since(self.led_since) < SETTLING {
+        if self.leader.as_ref() != Some(id) || now.since(self.leader_since) < STALL_GRACE {
             return;
         }
-        if now.since(self.stalled_at) > STALL_KEPT {
+        if now.since(self.stalled_at) > STALL_WINDOW {
             self.stalls = 0;
         }
         self.stalls += 1;
@@ -232,25 +235,26 @@
         }
     }
 
-    /// The instance that is doubted, and why.
+    /// The instance that is suspected, and why.
     ///
-    /// A proxy without connections of its own looks only while somebody waits. Load: a group
-    /// changes back to an instance that such a proxy found lost earlier. Harm without an end
-    /// of its doubt: the instance is replaced again and again although it is well.
+    /// Failed probes count only for [`FAILURE_WINDOW`], because a proxy without connections of
+    /// its own probes only while a request waits. Without this limit, when a group changes back
+    /// to an instance that such a proxy found unreachable earlier, the instance is replaced
+    /// again and again although it is healthy.
     pub fn suspicion(&self, now: Time) -> Option<(InstanceId, Suspicion)> {
-        let claims = || {
-            let claims = self.candidates.iter().find(|(_, c)| c.claims);
-            claims.map(|(id, _)| id.clone())
+        let claimant = || {
+            let claimant = self.candidates.iter().find(|(_, c)| c.claims_primary);
+            claimant.map(|(id, _)| id.clone())
         };
-        let suspect = self.leader.clone().or_else(claims)?;
+        let suspect = self.leader.clone().or_else(claimant)?;
         let failing = self
             .failing_since
-            .is_some_and(|at| now.since(at) >= FAILING);
-        let fresh = now.since(self.failed_at) <= FAILURE_KEPT;
-        if failing && fresh && self.failures >= FAILURES {
+            .is_some_and(|at| now.since(at) >= MIN_FAILING_TIME);
+        let recent = now.since(self.failed_at) <= FAILURE_WINDOW;
+        if failing && recent && self.failures >= MIN_FAILURES {
             return Some((suspect, Suspicion::Unreachable));
         }
-        let stalled = self.stalls >= STALLS && now.since(self.stalled_at) <= STALL_KEPT;
+        let stalled = self.stalls >= MIN_STALLS && now.since(self.stalled_at) <= STALL_WINDOW;
         stalled.then_some((suspect, Suspicion::Stalled))
     }
 }
--- a/crates/policy/tests/primary_monitor.rs
+++ b/crates/policy/tests/primary_monitor.rs
@@ -1,4 +1,4 @@
-//! When a primary is doubted, and when not.
+//! When a primary is suspected, and when not.
 
 use model::entry::Entry;
 use model::id::InstanceId;
@@ -13,7 +13,7 @@
     Time::from_millis(ms)
 }
 
-fn watch() -> PrimaryMonitor {
+fn monitor() -> PrimaryMonitor {
     let entry = |name: &str| Entry {
         id: id(name),
         group: "g".parse().unwrap(),
@@ -24,123 +24,124 @@
         claims_primary: name == "p",
         born: 1,
     };
-    let mut watch = PrimaryMonitor::default();
-    watch.set_entries(&[entry("p"), entry("a")]);
-    watch.record_proof(&id("p"), at(0));
-    watch
+    let mut monitor = PrimaryMonitor::default();
+    monitor.set_entries(&[entry("p"), entry("a")]);
+    monitor.record_proof(&id("p"), at(0));
+    monitor
 }
 
-/// A primary goes dark. Neither an open connection nor a new one brings an answer; after
-/// a short time the proxy doubts it, and writes wait no longer than that for a successor.
+/// A primary stops responding. Neither an open connection nor a new one brings a response;
+/// after a short time the proxy suspects it, and writes wait no longer than that for a new
+/// primary.
 #[test]
-fn a_silent_primary_is_doubted() {
-    let mut watch = watch();
-    watch.record_failure(&id("p"), ProbeFailure::Silent, at(600));
-    assert_eq!(watch.suspicion(at(700)), None);
+fn an_unresponsive_primary_is_suspected() {
+    let mut monitor = monitor();
+    monitor.record_failure(&id("p"), ProbeFailure::Silent, at(600));
+    assert_eq!(monitor.suspicion(at(700)), None);
     assert_eq!(
-        watch.suspicion(at(850)),
+        monitor.suspicion(at(850)),
         Some((id("p"), Suspicion::Unreachable))
     );
 }
 
-/// All connections of a proxy are reset at once. The primary is well, and the next
-/// question proves it: nobody must be replaced for that.
+/// All connections of a proxy are reset at once. The primary is healthy, and the next probe
+/// proves it: it must not be replaced.
 #[test]
-fn a_reset_is_no_doubt() {
-    let mut watch = watch();
-    watch.connection_failed(&id("p"), at(600));
-    watch.record_failure(&id("p"), ProbeFailure::Down, at(601));
-    watch.record_proof(&id("p"), at(640));
-    assert_eq!(watch.suspicion(at(1_000)), None);
+fn a_reset_is_no_suspicion() {
+    let mut monitor = monitor();
+    monitor.connection_failed(&id("p"), at(600));
+    monitor.record_failure(&id("p"), ProbeFailure::Down, at(601));
+    monitor.record_proof(&id("p"), at(640));
+    assert_eq!(monitor.suspicion(at(1_000)), None);
 }
 
-/// Under load the primary accepts no further connection. It lives, so a question that
-/// finds it full says nothing against it.
+/// Under load, the primary accepts no further connection. It is running, so a probe that finds
+/// no free connection does not count against it.
 #[test]
-fn a_full_primary_is_no_doubt() {
-    let mut watch = watch();
+fn a_full_primary_is_not_suspected() {
+    let mut monitor = monitor();
     for ms in [600, 700, 800, 900] {
-        watch.record_failure(&id("p"), ProbeFailure::Full, at(ms));
+        monitor.record_failure(&id("p"), ProbeFailure::Full, at(ms));
     }
-    assert_eq!(watch.suspicion(at(2_000)), None);
+    assert_eq!(monitor.suspicion(at(2_000)), None);
 }
 
-/// A primary is cut off from its replicas. It answers questions and leads, but no write
-/// on it ends; two writes without an answer make it doubtful, one acknowledged write ends
-/// the doubt.
+/// A primary is partitioned from its replicas. It responds to probes and leads, but no write on
+/// it completes. Two writes without a response cause a suspicion, one acknowledged write ends
+/// it.
 #[test]
-fn writes_that_do_not_end_are_a_doubt() {
-    let mut watch = watch();
-    watch.record_stall(&id("p"), at(2_400));
-    assert_eq!(watch.suspicion(at(2_450)), None);
-    watch.record_stall(&id("p"), at(2_500));
-    watch.record_proof(&id("p"), at(2_550));
+fn a_primary_with_stalled_writes_is_suspected() {
+    let mut monitor = monitor();
+    monitor.record_stall(&id("p"), at(2_400));
+    assert_eq!(monitor.suspicion(at(2_450)), None);
+    monitor.record_stall(&id("p"), at(2_500));
+    monitor.record_proof(&id("p"), at(2_550));
     assert_eq!(
-        watch.suspicion(at(2_600)),
+        monitor.suspicion(at(2_600)),
         Some((id("p"), Suspicion::Stalled))
     );
-    watch.record_write(&id("p"));
-    assert_eq!(watch.suspicion(at(2_650)), None);
+    monitor.record_write(&id("p"));
+    assert_eq!(monitor.suspicion(at(2_650)), None);
 }
 
-/// A new primary leads, and its replicas roll back for a moment. Writes stall; replacing
-/// it once more would only make that last longer.
+/// A new primary leads, and its replicas roll back for a moment. Writes stall; replacing it
+/// again would only prolong that.
 #[test]
-fn a_new_primary_is_given_time() {
-    let mut watch = watch();
-    watch.record_proof(&id("a"), at(5_000));
-    watch.record_stall(&id("a"), at(5_600));
-    watch.record_stall(&id("a"), at(5_700));
-    assert_eq!(watch.suspicion(at(5_800)), None);
+fn stalled_writes_on_a_new_primary_do_not_count() {
+    let mut monitor = monitor();
+    monitor.record_proof(&id("a"), at(5_000));
+    monitor.record_stall(&id("a"), at(5_600));
+    monitor.record_stall(&id("a"), at(5_700));
+    assert_eq!(monitor.suspicion(at(5_800)), None);
 }
 
-/// An answer that was asked for before the failure arrives after it. It says nothing
-/// about the time since, so the doubt stays.
+/// The response to a probe that was sent before the failure arrives after it. It says nothing
+/// about the time since, so the suspicion stays.
 #[test]
-fn an_earlier_answer_does_not_clear_a_doubt() {
-    let mut watch = watch();
-    watch.record_failure(&id("p"), ProbeFailure::Silent, at(600));
-    watch.record_proof(&id("p"), at(590));
+fn an_earlier_response_does_not_clear_a_suspicion() {
+    let mut monitor = monitor();
+    monitor.record_failure(&id("p"), ProbeFailure::Silent, at(600));
+    monitor.record_proof(&id("p"), at(590));
     assert_eq!(
-        watch.suspicion(at(900)),
+        monitor.suspicion(at(900)),
         Some((id("p"), Suspicion::Unreachable))
     );
 }
 
-/// Without a primary all instances are asked, so that a new one is found by whichever
-/// proxy reaches it, also while the store is away.
+/// Without a primary, all instances are probed, so that any proxy that reaches the new one
+/// finds it, even while the store is unavailable.
 #[test]
-fn without_a_primary_all_are_asked() {
-    let mut watch = watch();
-    watch.record_failure(&id("p"), ProbeFailure::Silent, at(600));
-    let mut asked = watch.start_probes(None, Some(at(0)), at(1_100));
-    asked.sort();
-    assert_eq!(asked, [id("a"), id("p")]);
+fn without_a_primary_all_are_probed() {
+    let mut monitor = monitor();
+    monitor.record_failure(&id("p"), ProbeFailure::Silent, at(600));
+    let mut probed = monitor.start_probes(None, Some(at(0)), at(1_100));
+    probed.sort();
+    assert_eq!(probed, [id("a"), id("p")]);
 }
 
-/// A busy primary proves itself with every write, and is asked nothing besides.
+/// Every write proves that a busy primary leads, so it is not probed in addition.
 #[test]
-fn a_busy_primary_is_not_asked() {
-    let mut watch = watch();
+fn a_busy_primary_is_not_probed() {
+    let mut monitor = monitor();
     assert!(
-        watch
+        monitor
             .start_probes(Some(&id("p")), Some(at(900)), at(1_000))
             .is_empty()
     );
     assert_eq!(
-        watch.start_probes(Some(&id("p")), Some(at(700)), at(1_000)),
+        monitor.start_probes(Some(&id("p")), Some(at(700)), at(1_000)),
         [id("p")]
     );
 }
 
-/// A proxy without connections of its own found a primary lost, and then nobody waited there
-/// any more, so it asked no further. Twenty changes of primary later it still doubted that
-/// instance, which led again and was well.
+/// A proxy without connections of its own found a primary unreachable. Then no request waited
+/// there any more, so it sent no further probes. Twenty changes of primary later it still
+/// suspected that instance, which was primary again and healthy.
 #[test]
-fn a_doubt_ends_when_nobody_looks_any_more() {
-    let mut watch = watch();
-    watch.record_failure(&id("p"), ProbeFailure::Silent, at(1_000));
-    assert!(watch.suspicion(at(1_300)).is_some());
-    assert!(watch.suspicion(at(2_400)).is_some());
-    assert_eq!(watch.suspicion(at(2_600)), None);
+fn a_suspicion_expires_without_further_probes() {
+    let mut monitor = monitor();
+    monitor.record_failure(&id("p"), ProbeFailure::Silent, at(1_000));
+    assert!(monitor.suspicion(at(1_300)).is_some());
+    assert!(monitor.suspicion(at(2_400)).is_some());
+    assert_eq!(monitor.suspicion(at(2_600)), None);
 }
