--- a/crates/policy/tests/election.rs
+++ b/crates/policy/tests/election.rs
@@ -1,4 +1,4 @@
-//! Who stands for the coordinator's duty, and when, in fleets of every size.
+//! Which proxies run for the coordinator role, and when, in fleets of every size.
 
 use model::id::ProxyId;
 use model::unit::Span;
@@ -7,10 +7,10 @@
 use rand::rngs::StdRng;
 use test_case::test_case;
 
-/// Time until all proxies know that the duty is taken.
-const NEWS: Span = Span::from_millis(300);
+/// Time until all proxies know that the role is taken.
+const PROPAGATION: Span = Span::from_millis(300);
 
-/// Calls of the store that a proxy pays for that stands in vain.
+/// Store calls of a proxy that runs in vain.
 const CALLS: usize = 3;
 
 fn fleet(size: usize) -> Vec<ProxyId> {
@@ -18,41 +18,42 @@
     (0..size).map(name).collect()
 }
 
-fn pauses(live: &[ProxyId]) -> Vec<Span> {
+fn delays(live: &[ProxyId]) -> Vec<Span> {
     let mut rng = StdRng::seed_from_u64(7);
-    let pause = |me| election::candidacy_delay(me, live.iter(), &mut rng);
-    live.iter().map(pause).collect()
+    let delay = |me| election::candidacy_delay(me, live.iter(), &mut rng);
+    live.iter().map(delay).collect()
 }
 
-/// Guards against a fleet that pays three calls a proxy because its coordinator went.
+/// Guards against a fleet in which every proxy sends three calls to the store because the
+/// coordinator stopped.
 #[test_case(9)]
 #[test_case(69)]
 #[test_case(195)]
 #[test_case(2_200)]
-fn few_stand_before_the_news_that_the_duty_is_taken(size: usize) {
-    let pauses = pauses(&fleet(size));
-    let first = pauses.iter().min().copied().unwrap();
-    let early = pauses.iter().filter(|p| **p < first + NEWS).count();
-    assert!(early * CALLS <= 36, "{early} of {size} stand");
+fn few_run_before_they_know_that_the_role_is_taken(size: usize) {
+    let delays = delays(&fleet(size));
+    let first = delays.iter().min().copied().unwrap();
+    let early = delays.iter().filter(|p| **p < first + PROPAGATION).count();
+    assert!(early * CALLS <= 36, "{early} of {size} run");
 }
 
-/// Guards against a group that stays without a primary because nobody stands: the proxies
-/// that come first have lost the store together with the coordinator.
+/// Guards against groups that stay without a primary because no proxy runs: the first proxies
+/// in the order lost the store together with the coordinator.
 #[test_case(9, 3)]
 #[test_case(195, 65)]
 #[test_case(195, 190)]
-fn the_duty_is_taken_soon_without_those_who_lost_the_store(size: usize, lost: usize) {
+fn the_role_is_taken_soon_without_those_that_lost_the_store(size: usize, lost: usize) {
     let live = fleet(size);
-    let mut pauses = pauses(&live);
-    pauses.sort_unstable();
-    assert!(pauses[lost] <= Span::from_millis(650), "{}", pauses[lost]);
+    let mut delays = delays(&live);
+    delays.sort_unstable();
+    assert!(delays[lost] <= Span::from_millis(650), "{}", delays[lost]);
 }
 
-/// Guards against a proxy alone that waits for nobody.
+/// Guards against a single proxy that waits although there are no others.
 #[test]
-fn a_proxy_that_knows_no_other_stands_at_once() {
+fn a_proxy_that_knows_no_other_runs_at_once() {
     let me = &fleet(1)[0];
     let mut rng = StdRng::seed_from_u64(7);
-    let pause = election::candidacy_delay(me, std::iter::empty(), &mut rng);
-    assert!(pause <= Span::from_millis(30));
+    let delay = election::candidacy_delay(me, std::iter::empty(), &mut rng);
+    assert!(delay <= Span::from_millis(30));
 }
