--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,4 +1,4 @@
-//! Decisions of the fleet, free of sockets and clocks.
+//! Decisions of the proxies, without sockets or clocks.
 
 pub mod admission;
 pub mod config_mirror;
--- a/crates/policy/src/order.rs
+++ b/crates/policy/src/order.rs
@@ -1,4 +1,4 @@
-//! When an order to the platform can have no effect any more.
+//! When a promotion order to the platform can no longer take effect.
 
 use model::unit::Span;
 
@@ -7,27 +7,29 @@
 /// Longest time from the acceptance of an order until its instance leads.
 pub const EFFECT_TIMEOUT: Span = Span::from_millis(1_500);
 
-/// How long to look for the ordered instance to lead, counted from the answer, or from the end of
-/// the wait for one. An order without an answer is repeated rather than waited for.
-pub const fn leader_wait(answer: Option<OrderResponse>) -> Span {
-    match answer {
+/// How long to wait for the ordered instance to lead, counted from the response, or from the
+/// timeout of the request. An order without a response is repeated rather than waited for.
+pub const fn leader_wait(response: Option<OrderResponse>) -> Span {
+    match response {
         Some(OrderResponse::Accepted) => Span::from_millis(2_500),
         Some(OrderResponse::Conflict | OrderResponse::NotNow) => Span::from_millis(0),
         None => Span::from_millis(1_000),
     }
 }
 
-/// Whether neither an order nor one before it can have an effect any more, so long after its
-/// answer. `earlier` says whether one before it had no answer; an accepted one makes it void.
-/// `led` says whether its instance leads.
+/// Whether neither this order nor an earlier one can still take effect, `since_response` after
+/// its response.
+///
+/// `earlier` tells whether an earlier order got no response; an accepted order voids it.
+/// `leads` tells whether the ordered instance leads.
 pub fn is_settled(
-    answer: Option<OrderResponse>,
+    response: Option<OrderResponse>,
     earlier: bool,
-    led: bool,
-    since_answer: Span,
+    leads: bool,
+    since_response: Span,
 ) -> bool {
-    match answer {
-        Some(OrderResponse::Accepted) => (led && !earlier) || since_answer >= EFFECT_TIMEOUT,
+    match response {
+        Some(OrderResponse::Accepted) => (leads && !earlier) || since_response >= EFFECT_TIMEOUT,
         Some(OrderResponse::Conflict | OrderResponse::NotNow) => !earlier,
         None => false,
     }
--- a/crates/policy/src/order_tracker.rs
+++ b/crates/policy/src/order_tracker.rs
@@ -1,54 +1,57 @@
-//! Which primary of a group the last order accounts for.
+//! Whether the last promotion order explains the present primary of a group.
 
 use model::id::InstanceId;
 use model::position::Term;
 
 use crate::takeover::{self, InstanceView, Token};
 
-/// What an order to the platform is for.
+/// Purpose of a promotion order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Purpose {
-    /// Another instance is to lead.
+    /// To make another instance primary.
     Change,
-    /// The present primary is named, so that earlier orders are refused.
+    /// To order the present primary again, so that the platform refuses earlier orders.
     VoidEarlier,
 }
 
-/// A primary that the last order does not account for.
+/// A primary that the last order does not explain.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UnexpectedPrimary {
-    /// The instance that leads.
+    /// The primary.
     pub instance: InstanceId,
-    /// What the last order was for, if this holder gave one.
+    /// Purpose of the last order, if this holder gave one.
     pub last_purpose: Option<Purpose>,
 }
 
-/// What one holder of the duty knows of a group's primary and of its own orders.
+/// What a holder of the coordinator role knows of a group's primary and of its own orders.
 ///
-/// An order that is carried out late, after the next one was given or by an earlier holder,
-/// shows only in the instance that leads and its term.
+/// An order that takes effect late, after the next one was given or from an earlier holder, is
+/// visible only by the instance that leads and its term.
 #[derive(Clone, Debug, Default)]
 pub struct OrderTracker {
-    /// First token of the holder; a holder knows nothing of the orders of others.
+    /// First token of the holder; a holder does not know the orders of others.
     holder: Token,
-    /// Term of the newest primary that a look found; before that, the newest term at all.
+    /// Term of the newest primary that a survey found; before that, the newest term of any
+    /// instance.
     term: Term,
-    /// Whether a primary answered or an order was given: until then, a silent primary is
-    /// no new one once it answers.
-    begun: bool,
-    /// Its last order that may have been carried out.
+    /// Whether a primary responded or an order was given. Before that, a primary that was
+    /// unresponsive at first is not reported as new.
+    initialised: bool,
+    /// The last order that may have taken effect.
     last: Option<(Purpose, InstanceId)>,
 }
 
 impl OrderTracker {
-    /// An order was given that may be carried out.
+    /// Records an order that may take effect.
     pub fn record_order(&mut self, purpose: Purpose, instance: &InstanceId) {
-        self.begun = true;
+        self.initialised = true;
         self.last = Some((purpose, instance.clone()));
     }
 
-    /// A look at the instances. Gives a primary of a new term that the last order did not
-    /// name, or that came after an order that changes no term. Each is given once.
+    /// Evaluates a survey of the instances.
+    ///
+    /// Returns a primary of a new term that the last order did not name, or that appeared after
+    /// an order that changes no term. Each is returned once.
     pub fn observe(
         &mut self,
         holder: Token,
@@ -62,8 +65,8 @@
         }
         let newest = takeover::newest_term(instances);
         let leader = takeover::leader(instances);
-        if !self.begun {
-            self.begun = leader.is_some();
+        if !self.initialised {
+            self.initialised = leader.is_some();
             self.term = self.term.max(newest);
             return None;
         }
@@ -73,7 +76,7 @@
         }
         self.term = newest;
         let last_purpose = match &self.last {
-            Some((Purpose::Change, named)) if *named == leader.id => return None,
+            Some((Purpose::Change, ordered)) if *ordered == leader.id => return None,
             last => last.as_ref().map(|(purpose, _)| *purpose),
         };
         let instance = leader.id.clone();
--- a/crates/policy/tests/order_tracker.rs
+++ b/crates/policy/tests/order_tracker.rs
@@ -1,4 +1,4 @@
-//! Primaries that lead by another order than the last one.
+//! Primaries that lead because of another order than the last one.
 
 use model::id::InstanceId;
 use model::position::{Point, Term};
@@ -11,7 +11,7 @@
     name.parse().unwrap()
 }
 
-/// What a look finds where this instance leads under a term.
+/// The survey in which this instance leads in a term.
 fn led_by(name: &str, term: u64) -> [InstanceView; 1] {
     let state = State {
         role: Role::Primary,
@@ -29,7 +29,7 @@
     }]
 }
 
-fn late(name: &str, last_purpose: Option<Purpose>) -> Option<UnexpectedPrimary> {
+fn unexpected(name: &str, last_purpose: Option<Purpose>) -> Option<UnexpectedPrimary> {
     let instance = id(name);
     Some(UnexpectedPrimary {
         instance,
@@ -37,43 +37,46 @@
     })
 }
 
-/// An order without an answer is carried out after the next one was given. Nobody could
-/// tell afterwards that the instance of the earlier order had led.
+/// An order without a response takes effect after the next one was given. Nothing else would
+/// show afterwards that the instance of the earlier order was primary.
 #[test]
-fn an_order_that_overtakes_the_next_one_is_seen_once() {
-    let mut expected = OrderTracker::default();
-    assert_eq!(expected.observe(HOLDER, &led_by("a", 1)), None);
-    expected.record_order(Purpose::Change, &id("b"));
-    assert_eq!(expected.observe(HOLDER, &led_by("a", 1)), None);
-    expected.record_order(Purpose::Change, &id("c"));
-    assert_eq!(expected.observe(HOLDER, &[]), None);
-    let found = expected.observe(HOLDER, &led_by("b", 2));
-    assert_eq!(found, late("b", Some(Purpose::Change)));
-    assert_eq!(expected.observe(HOLDER, &led_by("b", 2)), None);
-    assert_eq!(expected.observe(HOLDER, &led_by("c", 3)), None);
+fn an_order_that_takes_effect_after_the_next_one_is_reported_once() {
+    let mut tracker = OrderTracker::default();
+    assert_eq!(tracker.observe(HOLDER, &led_by("a", 1)), None);
+    tracker.record_order(Purpose::Change, &id("b"));
+    assert_eq!(tracker.observe(HOLDER, &led_by("a", 1)), None);
+    tracker.record_order(Purpose::Change, &id("c"));
+    assert_eq!(tracker.observe(HOLDER, &[]), None);
+    let found = tracker.observe(HOLDER, &led_by("b", 2));
+    assert_eq!(found, unexpected("b", Some(Purpose::Change)));
+    assert_eq!(tracker.observe(HOLDER, &led_by("b", 2)), None);
+    assert_eq!(tracker.observe(HOLDER, &led_by("c", 3)), None);
 }
 
-/// An order is carried out between the look and the order that voids it, which then makes
-/// the old primary lead again. Only the term tells.
+/// An order takes effect between the survey and the order that voids it, which then makes the
+/// old primary lead again. Only the term shows it.
 #[test]
-fn an_order_that_voids_another_too_late_is_seen() {
-    let mut expected = OrderTracker::default();
-    expected.observe(HOLDER, &led_by("a", 1));
-    expected.record_order(Purpose::Change, &id("b"));
-    expected.record_order(Purpose::VoidEarlier, &id("a"));
-    assert_eq!(expected.observe(HOLDER, &led_by("a", 1)), None);
-    let found = expected.observe(HOLDER, &led_by("a", 3));
-    assert_eq!(found, late("a", Some(Purpose::VoidEarlier)));
+fn an_order_that_voids_another_too_late_is_reported() {
+    let mut tracker = OrderTracker::default();
+    tracker.observe(HOLDER, &led_by("a", 1));
+    tracker.record_order(Purpose::Change, &id("b"));
+    tracker.record_order(Purpose::VoidEarlier, &id("a"));
+    assert_eq!(tracker.observe(HOLDER, &led_by("a", 1)), None);
+    let found = tracker.observe(HOLDER, &led_by("a", 3));
+    assert_eq!(found, unexpected("a", Some(Purpose::VoidEarlier)));
 }
 
-/// The duty was elsewhere for a while. A change by the other holder is no late order, one
-/// that is carried out after this holder saw a primary is.
+/// Another proxy held the coordinator role for a while. A change by that holder is not reported
+/// as unexpected; one that takes effect after this holder saw a primary is.
 #[test]
-fn a_change_by_another_holder_is_not_late() {
-    let mut expected = OrderTracker::default();
-    expected.observe(HOLDER, &led_by("a", 1));
-    expected.record_order(Purpose::Change, &id("b"));
+fn a_change_by_another_holder_is_not_unexpected() {
+    let mut tracker = OrderTracker::default();
+    tracker.observe(HOLDER, &led_by("a", 1));
+    tracker.record_order(Purpose::Change, &id("b"));
     let again = Token::first(9);
-    assert_eq!(expected.observe(again, &led_by("c", 4)), None);
-    assert_eq!(expected.observe(again, &led_by("b", 5)), late("b", None));
+    assert_eq!(tracker.observe(again, &led_by("c", 4)), None);
+    assert_eq!(
+        tracker.observe(again, &led_by("b", 5)),
+        unexpected("b", None)
+    );
 }
--- a/crates/policy/tests/proof.rs
+++ b/crates/policy/tests/proof.rs
@@ -1,4 +1,4 @@
-//! How fresh reads are: what a proof about the primary's log allows.
+//! How fresh reads are, given the proofs about the primary's log.
 
 use model::position::Point;
 use model::route::Guarantee;
@@ -20,10 +20,10 @@
     Time::from_millis(ms)
 }
 
-/// Replicas lag by a second. A read that accepts 1.5 s would be refused by all of them if
-/// it asked for the newest position; the oldest proof that is young enough serves it.
+/// Replicas lag by a second. If a read that accepts 1.5 s required the newest position, all of
+/// them would reject it; the oldest proof that is young enough lets them serve it.
 #[test]
-fn takes_the_oldest_proof_that_is_young_enough() {
+fn uses_the_oldest_proof_that_is_young_enough() {
     let mut proofs = Proofs::default();
     for ms in [100, 800, 1_600, 2_300] {
         proofs.add(proof(ms, ms));
@@ -32,18 +32,18 @@
     assert_eq!(need, Need::Holds(Point::new(1, 800)));
 }
 
-/// The primary has been silent for longer than the accepted age: nothing proves a
-/// replica's freshness any more, and an old position would return stale data.
+/// The primary has been unresponsive for longer than the accepted age: the freshness of
+/// replicas is no longer proved, and an old position would return stale data.
 #[test]
-fn an_old_proof_serves_no_read() {
+fn an_old_proof_allows_no_read() {
     let mut proofs = Proofs::default();
     proofs.add(proof(100, 7));
     let need = proofs.need(Guarantee::Bounded(AGE), None, at(1_600));
     assert_eq!(need, Need::Primary);
 }
 
-/// A session writes, and reads a moment later on a replica that has not received the
-/// write. The read must ask for the session's own position, which is newer than any proof.
+/// A session writes, and reads a moment later on a replica that has not received the write. The
+/// read must require the session's own position, which is newer than any proof.
 #[test]
 fn a_session_reads_its_own_write() {
     let mut proofs = Proofs::default();
@@ -53,8 +53,8 @@
     assert_eq!(need, Need::Holds(Point::new(1, 9)));
 }
 
-/// A change of primary elsewhere may have acknowledged a write a moment ago, which no
-/// earlier proof knows of: such a route is always served after a new proof.
+/// A change of primary elsewhere may have acknowledged a write a moment ago that no earlier
+/// proof covers: such a route is always served after a new proof.
 #[test]
 fn the_newest_data_needs_a_proof_of_its_own() {
     let mut proofs = Proofs::default();
@@ -66,8 +66,8 @@
 enum Event {
     Pass(u64),
     Commit,
-    /// A statement is sent to the primary and answered after so many milliseconds and
-    /// commits.
+    /// A statement is sent to the primary, which responds after so many milliseconds
+    /// and commits.
     Prove(u64, u64),
     Read(u64),
 }
@@ -89,8 +89,8 @@
         ..Config::default()
     })]
 
-    /// The oracle keeps every commit with its time: a read that accepts an age must ask
-    /// for a position that covers all commits acknowledged longer ago than that.
+    /// The oracle keeps every commit with its time: a read that accepts an age must require a
+    /// position that covers all commits acknowledged longer ago than that.
     #[test]
     fn a_read_never_misses_what_is_older_than_its_age(
         events in prop::collection::vec(event(), 1..120),
