--- a/crates/policy/tests/handover/cfg.rs
+++ b/crates/policy/tests/handover/cfg.rs
@@ -1,49 +1,49 @@
-//! What a search allows, and what it leaves out of the code.
+//! What a search may do, and which guards of the code it leaves out.
 
 use crate::world::{Id, Set};
 
-/// A part of the code that an earlier finding added, and that a search leaves out.
+/// A guard in the code that prevents a known violation, and that a search may leave out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Guard {
-    /// Callers are told of a write's success once a replica that counts has received it.
-    Counted,
-    /// No replica begins to count during a change of primary.
-    ChangeNoted,
-    /// A pending order to receive again is known to the decision.
+    /// The success of a write is reported only once an eligible replica has received it.
+    Eligibility,
+    /// No replica becomes eligible during a change of primary.
+    ChangeRecorded,
+    /// The decision takes a pending resume command into account.
     ResumePending,
-    /// A living primary is told to stop before another is named.
+    /// A running primary is demoted before another instance is promoted.
     Demote,
-    /// The old primary has stopped, and newcomers are waited for.
+    /// After the old primary was demoted, instances that just started are awaited.
     Announcing,
-    /// Replicas that appear during an order are stopped.
+    /// Replicas that are announced during an order are paused.
     PauseNew,
-    /// Nobody else is named while an order may still be carried out.
-    Ordered,
-    /// Replicas stay stopped meanwhile.
-    Stopped,
-    /// The note of an order that was taken stands while it is carried out.
-    Time,
-    /// The note of a refused order stands for an earlier one.
-    Earlier,
-    /// Orders for the primary itself are void before it is replaced.
+    /// No other instance is promoted while an order may still take effect.
+    PendingOrder,
+    /// Replicas stay paused meanwhile.
+    StayPaused,
+    /// The intent of an accepted order is kept until the order has taken effect.
+    EffectTimeout,
+    /// The intent of a refused order is kept if an earlier order is pending.
+    EarlierOrder,
+    /// Orders for the primary itself are voided before it is replaced.
     VoidEarlier,
-    /// Replicas are told to receive again only by the holder of the duty.
-    Duty,
-    /// The copy of the store of a new holder of the duty is as new as its claim.
+    /// Replicas are resumed only by the holder of the coordinator role.
+    Role,
+    /// The store copy of a new holder of the role is as new as its claim.
     Claim,
 }
 
-/// How often each event may happen in a run; this bounds the world.
+/// How often each event may happen in a run; this bounds the state space.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct Budget {
     pub(crate) writes: u8,
     pub(crate) changes: u8,
-    pub(crate) mends: u8,
-    /// Orders that name another primary.
+    pub(crate) repairs: u8,
+    /// Orders that promote another instance.
     pub(crate) orders: u8,
-    /// Orders for an instance that an order names which may still be carried out.
+    /// Orders for an instance whose earlier order may still take effect.
     pub(crate) repeats: u8,
-    /// Orders that the platform does not take.
+    /// Orders that the platform refuses.
     pub(crate) refusals: u8,
     pub(crate) crashes: u8,
     pub(crate) restarts: u8,
@@ -51,46 +51,46 @@
     pub(crate) returns: u8,
     pub(crate) lapses: u8,
     pub(crate) starts: u8,
-    /// Instances that are taken out of service.
-    pub(crate) leaves: u8,
-    /// Instances cut off from the coordinators, and back.
-    pub(crate) cuts: u8,
+    /// Instances that are decommissioned.
+    pub(crate) decommissions: u8,
+    /// Partitions between an instance and the coordinators, and their ends.
+    pub(crate) partitions: u8,
     pub(crate) heals: u8,
-    /// Instances without a slot for a coordinator.
+    /// Instances that have no free slot for a coordinator.
     pub(crate) fulls: u8,
-    pub(crate) lost_duties: u8,
+    pub(crate) lost_roles: u8,
 }
 
-/// What a search allows.
+/// Settings of a search.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Cfg {
     pub(crate) budget: Budget,
-    /// Steps of a run.
+    /// Number of steps of a run.
     pub(crate) depth: usize,
-    /// What is left out of the code.
+    /// The guard to leave out.
     pub(crate) off: Option<Guard>,
-    /// Any replica that received a write proves it, also one that nobody knows.
-    pub(crate) uncounted: bool,
-    /// An instance is announced and stopped before it receives anything.
+    /// Any replica that received a write acknowledges it, even one that no proxy knows.
+    pub(crate) all_eligible: bool,
+    /// An instance is announced and paused before it receives anything.
     pub(crate) announced_first: bool,
-    /// Instances may be no longer announced although they run.
-    pub(crate) lapses_alive: bool,
-    /// The primary is being taken out of service.
+    /// Entries of running instances may lapse.
+    pub(crate) running_may_lapse: bool,
+    /// The primary is being decommissioned.
     pub(crate) leaving: bool,
-    /// An instance was taken for gone before the run.
-    pub(crate) gone: Option<Id>,
-    /// Replicas that an earlier change has left stopped.
-    pub(crate) stopped: Set,
+    /// An instance that is down and no longer announced before the run.
+    pub(crate) unannounced: Option<Id>,
+    /// Replicas that an earlier change left paused.
+    pub(crate) paused: Set,
     /// Instances that do not crash.
-    pub(crate) steady: Set,
-    /// The coordinator learns of the primary's log only when it looks, and not by proofs.
+    pub(crate) never_crash: Set,
+    /// The coordinator learns the end of the primary's log only by surveys, not by proofs.
     pub(crate) stale_proofs: bool,
 }
 
 impl Cfg {
-    /// Whether only replicas that count prove writes.
-    pub(crate) fn counted(&self) -> bool {
-        !self.uncounted && self.off != Some(Guard::Counted)
+    /// Whether only eligible replicas acknowledge writes.
+    pub(crate) fn needs_eligibility(&self) -> bool {
+        !self.all_eligible && self.off != Some(Guard::Eligibility)
     }
 }
 
--- a/crates/policy/tests/handover/coordinator.rs
+++ b/crates/policy/tests/handover/coordinator.rs
@@ -1,51 +1,52 @@
-//! The coordinator's steps, as `front` takes them: what it saw is used at a later moment.
+//! The coordinator's steps, as `front` takes them: it acts later on what it saw earlier.
 
 use crate::cfg::{Cfg, Guard};
-use crate::doing::{Change, Coordinator, Decision, Doing, Event, Given, Kind, Purpose};
+use crate::doing::{Change, Coordinator, Decision, Event, GivenOrder, Kind, Purpose, Task};
 use crate::look;
 use crate::order;
-use crate::world::{Id, Order, Own, Set, World, bit, has};
+use crate::world::{Command, Id, Order, Set, World, bit, has};
 
-/// The steps that a coordinator may take now.
+/// The steps that a coordinator may take next.
 pub(crate) fn events(world: &World, at: usize, cfg: &Cfg) -> Vec<Event> {
     let this = &world.coordinators[at];
     let mut events = steps(world, at, cfg);
-    events.extend(this.ends.map(|_| Event::End));
+    events.extend(this.ending_change.map(|_| Event::End));
     events
 }
 
 fn steps(world: &World, at: usize, cfg: &Cfg) -> Vec<Event> {
     let this = &world.coordinators[at];
-    match this.doing {
-        Doing::Idle => idle(world, at),
-        Doing::Change(change) => {
-            let mut events = vec![Event::GiveUp];
-            if !change.in_store {
-                events.push(Event::NoteChange);
+    match this.task {
+        Task::Idle => idle(world, at),
+        Task::Change(change) => {
+            let mut events = vec![Event::Abort];
+            if !change.recorded {
+                events.push(Event::RecordChange);
             }
-            let looks = look::during(world, this, change, cfg);
-            let looks = looks.filter(|next| next.doing != this.doing || next.end != this.end);
-            for look in looks.map(Event::Look) {
-                if !events.contains(&look) {
-                    events.push(look);
+            let surveys = look::during(world, this, change, cfg);
+            let surveys =
+                surveys.filter(|next| next.task != this.task || next.known_end != this.known_end);
+            for survey in surveys.map(Event::Survey) {
+                if !events.contains(&survey) {
+                    events.push(survey);
                 }
             }
             events
         }
-        Doing::Decided(..) | Doing::Void(..) => vec![Event::Act],
-        Doing::Noted(given) => {
-            let mut events = vec![Event::Give];
-            events.extend(watch(world, &given, cfg));
+        Task::Decided(..) | Task::Void(..) => vec![Event::Act],
+        Task::Recorded(given) => {
+            let mut events = vec![Event::SendOrder];
+            events.extend(pause_event(world, &given, cfg));
             events
         }
-        Doing::Ordered(given) => ordered(world, &given, cfg),
-        Doing::Resume => vec![Event::Look(look::after(world, this, cfg))],
-        Doing::Note { .. } => vec![Event::Note],
-        Doing::Tell { .. } => vec![Event::Tell],
-        Doing::Told { earlier } => {
-            let mut events = vec![Event::NotAllAnswered];
-            if !world.may_receive_again() && !earlier {
-                events.push(Event::AllAnswered);
+        Task::Ordered(given) => ordered(world, &given, cfg),
+        Task::Resume => vec![Event::Survey(look::after(world, this, cfg))],
+        Task::RecordResume { .. } => vec![Event::RecordResume],
+        Task::SendResume { .. } => vec![Event::SendResume],
+        Task::ResumeSent { earlier } => {
+            let mut events = vec![Event::NotAllResponded];
+            if !world.resume_in_flight() && !earlier {
+                events.push(Event::AllResponded);
             }
             events
         }
@@ -57,9 +58,9 @@
     if world.holder != at {
         return events;
     }
-    let (primary, notes) = (world.primary, world.coordinators[at].notes);
+    let (primary, intents) = (world.primary, world.coordinators[at].intents);
     let i = &world.instances[primary];
-    // A primary is doubted by the id that is known.
+    // A primary is suspected under the id that is known.
     if !i.hidden && world.left.changes > 0 {
         let kind = match has(world.leaving, primary) {
             true => Kind::Leaving,
@@ -67,256 +68,260 @@
         };
         events.push(Event::Begin(primary, kind));
     }
-    let unfinished = notes
-        .lead
-        .is_some_and(|l| (l.instance, l.born) != (primary, i.born));
+    let unfinished = intents
+        .promotion
+        .is_some_and(|l| (l.instance, l.incarnation) != (primary, i.incarnation));
     if !i.hidden && unfinished && world.left.repeats > 0 {
         events.push(Event::Begin(primary, Kind::Unfinished));
     }
-    let stopped = world.instances.iter().any(|i| i.paused > 0);
-    if world.left.mends > 0 && (stopped || notes.change.is_some()) {
-        events.push(Event::Mend);
+    let paused = world.instances.iter().any(|i| i.paused > 0);
+    if world.left.repairs > 0 && (paused || intents.change.is_some()) {
+        events.push(Event::Repair);
     }
-    if notes.receive.is_some() && !world.may_receive_again() {
-        events.push(Event::NoteExpires);
+    if intents.resume.is_some() && !world.resume_in_flight() {
+        events.push(Event::IntentExpires);
     }
     events
 }
 
-fn watch(world: &World, given: &Given, cfg: &Cfg) -> Option<Event> {
+fn pause_event(world: &World, given: &GivenOrder, cfg: &Cfg) -> Option<Event> {
     let Purpose::Promote(.., known) = given.purpose else {
         return None;
     };
-    let new = look::appeared(world, known) != 0 && cfg.off != Some(Guard::PauseNew);
-    new.then_some(Event::Watch)
+    let new = look::new_instances(world, known) != 0 && cfg.off != Some(Guard::PauseNew);
+    new.then_some(Event::PauseNew)
 }
 
-fn ordered(world: &World, given: &Given, cfg: &Cfg) -> Vec<Event> {
+/// The steps that may end the wait for an order.
+fn ordered(world: &World, given: &GivenOrder, cfg: &Cfg) -> Vec<Event> {
     let i = &world.instances[given.next];
     let promotes = matches!(given.purpose, Purpose::Promote(..));
-    let leads = promotes && world.reached(given.next) && !i.hidden && i.leads;
-    let taken = given.taken == Some(true);
-    let over = !world.orders.iter().any(|o| o.token == given.token) || cfg.off == Some(Guard::Time);
+    let leads = promotes && world.is_reachable(given.next) && !i.hidden && i.leads;
+    let accepted = given.accepted == Some(true);
+    let settled = !world.orders.iter().any(|o| o.token == given.token)
+        || cfg.off == Some(Guard::EffectTimeout);
     let mut events = Vec::new();
-    for heard in [false, true] {
-        if heard && given.taken.is_none() {
+    for responded in [false, true] {
+        if responded && given.accepted.is_none() {
             continue;
         }
-        // One that was taken is waited for, and is carried out before.
-        let waits = heard && taken && promotes && !over;
-        if leads && !(waits && given.earlier) && (!heard || taken) {
-            events.push(Event::SeesLead(heard));
+        // It waits for an accepted order, which takes effect before the wait ends.
+        let waits = responded && accepted && promotes && !settled;
+        if leads && !(waits && given.earlier) && (!responded || accepted) {
+            events.push(Event::ObservesLeader(responded));
         }
         let first = cfg.announced_first && !world.orders.is_empty();
         if !waits && (leads || !first) {
-            events.push(Event::StopsWaiting(heard));
+            events.push(Event::StopsWaiting(responded));
         }
     }
     if !leads {
-        events.extend(watch(world, given, cfg));
+        events.extend(pause_event(world, given, cfg));
     }
     events
 }
 
-/// Lets a coordinator take a step.
+/// Applies a step of a coordinator.
 pub(crate) fn apply(world: &mut World, at: usize, event: Event, cfg: &Cfg) {
-    let doing = world.coordinators[at].doing;
-    let next = match (event, doing) {
+    let task = world.coordinators[at].task;
+    let next = match (event, task) {
         (Event::Begin(old, kind), _) => begin(world, at, old, kind, cfg),
-        (Event::End, doing) => {
+        (Event::End, task) => {
             end_change(world, at);
-            doing
+            task
         }
-        (Event::NoteChange, Doing::Change(change)) => {
-            world.noted += 1;
-            world.notes.change = Some(world.noted);
-            world.coordinators[at].notes.change = Some(world.noted);
-            let in_store = true;
-            Doing::Change(Change { in_store, ..change })
+        (Event::RecordChange, Task::Change(change)) => {
+            world.recorded_changes += 1;
+            world.intents.change = Some(world.recorded_changes);
+            world.coordinators[at].intents.change = Some(world.recorded_changes);
+            let recorded = true;
+            Task::Change(Change { recorded, ..change })
         }
-        (Event::GiveUp | Event::Mend, _) => {
-            world.left.mends -= u8::from(event == Event::Mend);
-            Doing::Resume
+        (Event::Abort | Event::Repair, _) => {
+            world.left.repairs -= u8::from(event == Event::Repair);
+            Task::Resume
         }
-        (Event::Look(next), doing) => {
-            if doing == Doing::Resume {
-                let known = world.coordinators[at].notes.change;
-                world.coordinators[at].ends = known.filter(|_| at == world.holder && next.over);
+        (Event::Survey(next), task) => {
+            if task == Task::Resume {
+                let known = world.coordinators[at].intents.change;
+                world.coordinators[at].ending_change =
+                    known.filter(|_| at == world.holder && next.over);
             }
-            world.coordinators[at].end = next.end;
-            next.doing
+            world.coordinators[at].known_end = next.known_end;
+            next.task
         }
-        (Event::Act, Doing::Decided(change, decision)) => act(world, at, change, decision),
-        (Event::Act, Doing::Void(purpose, primary)) => order::note(world, at, purpose, primary),
-        (Event::Give, Doing::Noted(given)) => {
+        (Event::Act, Task::Decided(change, decision)) => act(world, at, change, decision),
+        (Event::Act, Task::Void(purpose, primary)) => order::record(world, at, purpose, primary),
+        (Event::SendOrder, Task::Recorded(given)) => {
             world.orders.push(Order {
                 token: given.token,
                 instance: given.next,
                 accepted: false,
             });
             world.orders.sort_unstable();
-            Doing::Ordered(given)
+            Task::Ordered(given)
         }
-        (Event::Watch, Doing::Noted(given)) => Doing::Noted(stop_new(world, given, cfg)),
-        (Event::Watch, Doing::Ordered(given)) => Doing::Ordered(stop_new(world, given, cfg)),
-        (Event::SeesLead(heard), Doing::Ordered(given)) => {
-            order::settle(world, at, &given, true, heard, cfg);
-            Doing::Resume
+        (Event::PauseNew, Task::Recorded(given)) => Task::Recorded(pause_new(world, given, cfg)),
+        (Event::PauseNew, Task::Ordered(given)) => Task::Ordered(pause_new(world, given, cfg)),
+        (Event::ObservesLeader(responded), Task::Ordered(given)) => {
+            order::settle(world, at, &given, true, responded, cfg);
+            Task::Resume
         }
-        (Event::StopsWaiting(heard), Doing::Ordered(given)) => {
-            order::end(world, at, &given, heard, cfg)
+        (Event::StopsWaiting(responded), Task::Ordered(given)) => {
+            order::end(world, at, &given, responded, cfg)
         }
-        _ => let_receive(world, at, event),
+        _ => resume_step(world, at, event),
     };
-    world.coordinators[at].doing = next;
+    world.coordinators[at].task = next;
 }
 
-fn begin(world: &mut World, at: usize, old: Id, kind: Kind, cfg: &Cfg) -> Doing {
+fn begin(world: &mut World, at: usize, old: Id, kind: Kind, cfg: &Cfg) -> Task {
     world.left.changes -= u8::from(kind != Kind::Unfinished);
     let this = &mut world.coordinators[at];
-    let born = world.instances[old].born;
-    if cfg.stale_proofs && world.instances[old].runs && !has(world.cut, old) {
-        this.end = this.end.max(world.instances[old].received());
+    let incarnation = world.instances[old].incarnation;
+    if cfg.stale_proofs && world.instances[old].runs && !has(world.partitioned, old) {
+        this.known_end = this.known_end.max(world.instances[old].received());
     }
-    Doing::Change(Change {
+    Task::Change(Change {
         old,
-        born,
+        incarnation,
         kind,
-        told: false,
-        silent: false,
-        noted: false,
-        in_store: false,
+        demoted: false,
+        unresponsive: false,
+        order_recorded: false,
+        recorded: false,
     })
 }
 
-fn act(world: &mut World, at: usize, change: Change, decision: Decision) -> Doing {
+fn act(world: &mut World, at: usize, change: Change, decision: Decision) -> Task {
     match decision {
-        Decision::Pause(term, who) => {
-            each(world, who, Own::Pause(term));
-            Doing::Change(change)
+        Decision::Pause(term, targets) => {
+            send_each(world, targets, Command::Pause(term));
+            Task::Change(change)
         }
         Decision::Demote(term, old) => {
-            world.send(old, Own::Demote(term));
-            let told = true;
-            Doing::Change(Change { told, ..change })
+            world.send(old, Command::Demote(term));
+            let demoted = true;
+            Task::Change(Change { demoted, ..change })
         }
         Decision::Promote(next, term, known) => {
-            order::note(world, at, Purpose::Promote(change, term, known), next)
+            order::record(world, at, Purpose::Promote(change, term, known), next)
         }
     }
 }
 
-fn stop_new(world: &mut World, mut given: Given, cfg: &Cfg) -> Given {
+fn pause_new(world: &mut World, mut given: GivenOrder, cfg: &Cfg) -> GivenOrder {
     if let Purpose::Promote(_, term, known) = &mut given.purpose {
-        let new = look::appeared(world, *known);
+        let new = look::new_instances(world, *known);
         *known |= new;
-        each(world, new, Own::Pause(*term));
+        send_each(world, new, Command::Pause(*term));
         if cfg.announced_first {
             let new = (0..world.instances.len()).filter(|id| has(new, *id));
-            new.for_each(|id| world.deliver(id, Own::Pause(*term)));
+            new.for_each(|id| world.deliver(id, Command::Pause(*term)));
         }
     }
     given
 }
 
-/// The steps that let replicas receive again.
-fn let_receive(world: &mut World, at: usize, event: Event) -> Doing {
-    match (event, world.coordinators[at].doing) {
-        (Event::Note, Doing::Note { stopped }) => {
-            let earlier = world.coordinators[at].notes.receive.is_some();
-            world.notes.receive = Some(at);
-            world.coordinators[at].notes.receive = Some(at);
-            Doing::Tell { stopped, earlier }
+/// The steps that resume replicas.
+fn resume_step(world: &mut World, at: usize, event: Event) -> Task {
+    match (event, world.coordinators[at].task) {
+        (Event::RecordResume, Task::RecordResume { paused }) => {
+            let earlier = world.coordinators[at].intents.resume.is_some();
+            world.intents.resume = Some(at);
+            world.coordinators[at].intents.resume = Some(at);
+            Task::SendResume { paused, earlier }
         }
-        (Event::Tell, Doing::Tell { stopped, earlier }) => {
-            each(world, stopped, Own::Resume);
-            Doing::Told { earlier }
+        (Event::SendResume, Task::SendResume { paused, earlier }) => {
+            send_each(world, paused, Command::Resume);
+            Task::ResumeSent { earlier }
         }
-        (Event::AllAnswered, _) => {
-            forget_receive(world, at, Some(at));
-            Doing::Idle
+        (Event::AllResponded, _) => {
+            delete_resume_intent(world, at, Some(at));
+            Task::Idle
         }
-        (Event::NoteExpires, _) => {
-            let known = world.coordinators[at].notes.receive;
-            forget_receive(world, at, known);
-            Doing::Idle
+        (Event::IntentExpires, _) => {
+            let known = world.coordinators[at].intents.resume;
+            delete_resume_intent(world, at, known);
+            Task::Idle
         }
-        _ => Doing::Idle,
+        _ => Task::Idle,
     }
 }
 
-/// Instances may begin to count: no order for another than the present primary is pending.
+/// Deletes the recorded change, so that instances may become eligible again: no order for
+/// another instance than the present primary is pending.
 fn end_change(world: &mut World, at: usize) {
     let this = &mut world.coordinators[at];
-    let ends = this.ends.take();
-    this.notes.change.take_if(|by| Some(*by) == ends);
-    world.notes.change.take_if(|by| Some(*by) == ends);
+    let ending = this.ending_change.take();
+    this.intents.change.take_if(|by| Some(*by) == ending);
+    world.intents.change.take_if(|by| Some(*by) == ending);
 }
 
-fn forget_receive(world: &mut World, at: usize, known: Option<usize>) {
-    world.notes.receive.take_if(|by| Some(*by) == known);
-    world.coordinators[at].notes.receive = None;
+fn delete_resume_intent(world: &mut World, at: usize, known: Option<usize>) {
+    world.intents.resume.take_if(|by| Some(*by) == known);
+    world.coordinators[at].intents.resume = None;
 }
 
-fn each(world: &mut World, who: Set, own: Own) {
-    for id in (0..world.instances.len()).filter(|id| has(who, *id)) {
-        world.send(id, own);
+fn send_each(world: &mut World, targets: Set, command: Command) {
+    for id in (0..world.instances.len()).filter(|id| has(targets, *id)) {
+        world.send(id, command);
     }
 }
 
-/// The platform took an order, or refused it; its answer is on the way.
-pub(crate) fn answered(world: &mut World, token: u8, taken: bool) {
+/// The platform accepted an order or refused it; its response is in flight.
+pub(crate) fn record_response(world: &mut World, token: u8, accepted: bool) {
     for this in &mut world.coordinators {
-        if let Doing::Ordered(given) = &mut this.doing
+        if let Task::Ordered(given) = &mut this.task
             && given.token == token
         {
-            given.taken = Some(taken);
+            given.accepted = Some(accepted);
         }
     }
 }
 
-/// Whoever has lost the duty ends where the code asks for it.
-pub(crate) fn end_without_duty(world: &mut World, cfg: &Cfg) {
+/// A coordinator that lost the role stops where the code checks for it.
+pub(crate) fn end_without_role(world: &mut World, cfg: &Cfg) {
     for (at, this) in world.coordinators.iter_mut().enumerate() {
-        let asks = match this.doing {
-            Doing::Change(_) => true,
-            Doing::Decided(_, Decision::Promote(..)) => true,
-            Doing::Void(..) | Doing::Noted(_) => true,
-            Doing::Note { .. } | Doing::Tell { .. } => cfg.off != Some(Guard::Duty),
+        let checks = match this.task {
+            Task::Change(_) => true,
+            Task::Decided(_, Decision::Promote(..)) => true,
+            Task::Void(..) | Task::Recorded(_) => true,
+            Task::RecordResume { .. } | Task::SendResume { .. } => cfg.off != Some(Guard::Role),
             _ => false,
         };
-        // What it knows matters to nobody then.
-        if at != world.holder && (asks || this.doing == Doing::Idle) {
+        // What it knows has no effect any more.
+        if at != world.holder && (checks || this.task == Task::Idle) {
             *this = Coordinator::default();
         }
     }
 }
 
-/// Time passes in which every order that is noted has come or is lost.
+/// Whether enough time may pass that every recorded order has arrived or is lost.
 pub(crate) fn may_lapse(world: &World) -> bool {
     let waits = |this: &Coordinator| {
-        let doing = this.doing;
-        match doing {
-            Doing::Noted(_) | Doing::Ordered(_) => true,
-            Doing::Change(change) | Doing::Decided(change, _) => change.noted,
+        let task = this.task;
+        match task {
+            Task::Recorded(_) | Task::Ordered(_) => true,
+            Task::Change(change) | Task::Decided(change, _) => change.order_recorded,
             _ => false,
         }
     };
-    let taken = world.orders.iter().any(|o| o.accepted);
-    world.notes.lead.is_some() && !taken && !world.coordinators.iter().any(waits)
+    let accepted = world.orders.iter().any(|o| o.accepted);
+    world.intents.promotion.is_some() && !accepted && !world.coordinators.iter().any(waits)
 }
 
-/// An instance has restarted, and is not known from the last look any more.
+/// An instance has restarted and is not known from the last survey any more.
 pub(crate) fn restarted(world: &mut World, id: Id) {
     for this in &mut world.coordinators {
-        match &mut this.doing {
-            Doing::Decided(_, Decision::Promote(.., known))
-            | Doing::Void(Purpose::Leave(_, Some(Decision::Promote(.., known))), _) => {
+        match &mut this.task {
+            Task::Decided(_, Decision::Promote(.., known))
+            | Task::Void(Purpose::VoidThenAct(_, Some(Decision::Promote(.., known))), _) => {
                 *known &= !bit(id);
             }
-            Doing::Noted(given) | Doing::Ordered(given) => match &mut given.purpose {
+            Task::Recorded(given) | Task::Ordered(given) => match &mut given.purpose {
                 Purpose::Promote(.., known)
-                | Purpose::Leave(_, Some(Decision::Promote(.., known))) => *known &= !bit(id),
+                | Purpose::VoidThenAct(_, Some(Decision::Promote(.., known))) => *known &= !bit(id),
                 _ => {}
             },
             _ => {}
@@ -324,31 +329,31 @@
     }
 }
 
-/// An instance has another id: what was to be done with the earlier one comes to nothing.
-pub(crate) fn forget(world: &mut World, id: Id) {
+/// An instance has a new id: tasks that concern the previous id are dropped.
+pub(crate) fn drop_old_id(world: &mut World, id: Id) {
     restarted(world, id);
     for this in &mut world.coordinators {
-        match &mut this.doing {
-            Doing::Decided(change, Decision::Promote(next, ..)) if *next == id => {
-                this.doing = Doing::Change(*change);
+        match &mut this.task {
+            Task::Decided(change, Decision::Promote(next, ..)) if *next == id => {
+                this.task = Task::Change(*change);
             }
-            Doing::Void(purpose, next) if *next == id => this.doing = order::without(*purpose),
-            Doing::Noted(given) | Doing::Ordered(given) if given.next == id => {
-                this.doing = order::without(given.purpose);
+            Task::Void(purpose, next) if *next == id => this.task = order::on_failure(*purpose),
+            Task::Recorded(given) | Task::Ordered(given) if given.next == id => {
+                this.task = order::on_failure(given.purpose);
             }
-            Doing::Note { stopped } | Doing::Tell { stopped, .. } => *stopped &= !bit(id),
-            Doing::Decided(_, Decision::Pause(_, who)) => *who &= !bit(id),
+            Task::RecordResume { paused } | Task::SendResume { paused, .. } => *paused &= !bit(id),
+            Task::Decided(_, Decision::Pause(_, targets)) => *targets &= !bit(id),
             _ => {}
         }
     }
 }
 
-/// The step by which a coordinator stops an instance that appeared, if it is next.
+/// The step by which a coordinator pauses a newly announced instance, if it is next.
 pub(crate) fn urgent(world: &World, at: usize, events: &[Event]) -> Option<Event> {
-    let decided = match world.coordinators[at].doing {
-        Doing::Decided(_, Decision::Promote(_, _, known)) => look::appeared(world, known) != 0,
+    let decided = match world.coordinators[at].task {
+        Task::Decided(_, Decision::Promote(_, _, known)) => look::new_instances(world, known) != 0,
         _ => false,
     };
-    let first = |e: &&Event| **e == Event::Watch || decided && **e == Event::Act;
+    let first = |e: &&Event| **e == Event::PauseNew || decided && **e == Event::Act;
     events.iter().find(first).copied()
 }
--- a/crates/policy/tests/handover/doing.rs
+++ b/crates/policy/tests/handover/doing.rs
@@ -1,4 +1,4 @@
-//! What a coordinator is about to do, and what is noted of it in the store.
+//! What a coordinator does next, and which of its intents are recorded in the store.
 
 use model::position::Point;
 use policy::takeover::Cause;
@@ -6,23 +6,23 @@
 use crate::look::Next;
 use crate::world::{Id, Set};
 
-/// A note in the store that an instance is ordered to lead.
+/// The recorded intent of a promotion order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub(crate) struct Lead {
+pub(crate) struct Promotion {
     pub(crate) instance: Id,
-    /// Which of its ids.
-    pub(crate) born: u8,
-    /// The token of the order, which also tells one note from another.
+    /// The incarnation of the instance.
+    pub(crate) incarnation: u8,
+    /// The token of the order; it also distinguishes the intents.
     pub(crate) token: u8,
 }
 
-/// What is noted of calls that may still be carried out.
+/// The recorded intents of calls that may still take effect.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub(crate) struct Notes {
-    /// Replicas are told to receive again; by whom.
-    pub(crate) receive: Option<usize>,
-    pub(crate) lead: Option<Lead>,
-    /// A change of primary is under way; which one was noted last.
+pub(crate) struct Intents {
+    /// A resume command; by which coordinator.
+    pub(crate) resume: Option<usize>,
+    pub(crate) promotion: Option<Promotion>,
+    /// A change of primary; the number of the one recorded last.
     pub(crate) change: Option<u8>,
 }
 
@@ -48,20 +48,20 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Change {
     pub(crate) old: Id,
-    /// Which of its ids.
-    pub(crate) born: u8,
+    /// The incarnation of the instance.
+    pub(crate) incarnation: u8,
     pub(crate) kind: Kind,
-    /// Whether the old primary was told to stop leading.
-    pub(crate) told: bool,
-    /// Whether the old primary left a question unanswered.
-    pub(crate) silent: bool,
-    /// Whether it has noted an order: its time is over before that note lapses.
-    pub(crate) noted: bool,
-    /// Whether the store holds the note that it is under way.
-    pub(crate) in_store: bool,
+    /// Whether the old primary was sent a demote command.
+    pub(crate) demoted: bool,
+    /// Whether the old primary did not respond to a query.
+    pub(crate) unresponsive: bool,
+    /// Whether it has recorded an order: the change ends before that intent lapses.
+    pub(crate) order_recorded: bool,
+    /// Whether the store holds the intent of the change.
+    pub(crate) recorded: bool,
 }
 
-/// What a look led to.
+/// The decision after a survey.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum Decision {
     Pause(u8, Set),
@@ -70,105 +70,106 @@
     Promote(Id, u8, Set),
 }
 
-/// What an order is given for.
+/// The purpose of a promotion order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum Purpose {
-    /// To make an instance lead in this term, while those that are not known are stopped.
+    /// To make an instance primary in this term, while instances that are not in the set of
+    /// known ones are paused.
     Promote(Change, u8, Set),
-    /// To make earlier ones void, and then to do what was decided.
-    Leave(Change, Option<Decision>),
-    /// The same, and then to let these receive again.
-    Receive(Set),
+    /// To void earlier orders, and then to carry out the decision.
+    VoidThenAct(Change, Option<Decision>),
+    /// To void earlier orders, and then to resume these replicas.
+    VoidThenResume(Set),
 }
 
-/// An order that is noted.
+/// A promotion order whose intent is recorded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub(crate) struct Given {
+pub(crate) struct GivenOrder {
     pub(crate) purpose: Purpose,
     pub(crate) next: Id,
     pub(crate) token: u8,
-    /// Whether one before it may still be carried out.
+    /// Whether an earlier order may still take effect.
     pub(crate) earlier: bool,
-    /// Whether the platform took it; its answer is on the way.
-    pub(crate) taken: Option<bool>,
+    /// Whether the platform accepted it, once it has decided; the response is in flight.
+    pub(crate) accepted: Option<bool>,
 }
 
-/// What a coordinator is about to do.
+/// The next task of a coordinator.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub(crate) enum Doing {
+pub(crate) enum Task {
     #[default]
     Idle,
-    /// To look at the instances.
+    /// To survey the instances.
     Change(Change),
-    /// To act on what it saw.
+    /// To act on the survey.
     Decided(Change, Decision),
-    /// To order the primary that it saw.
+    /// To order the present primary again.
     Void(Purpose, Id),
-    /// To give an order that it has noted.
-    Noted(Given),
-    /// To hear the platform's answer, and to see that the instance leads.
-    Ordered(Given),
-    /// To look whether replicas are to receive again.
+    /// To send the recorded order.
+    Recorded(GivenOrder),
+    /// To receive the platform's response, and to observe that the instance leads.
+    Ordered(GivenOrder),
+    /// To check whether replicas need to be resumed.
     Resume,
-    /// To note that these are told to receive again.
-    Note { stopped: Set },
-    /// To tell them.
-    Tell { stopped: Set, earlier: bool },
-    /// To hear their answers.
-    Told { earlier: bool },
+    /// To record the intent of resuming these replicas.
+    RecordResume { paused: Set },
+    /// To send the resume commands.
+    SendResume { paused: Set, earlier: bool },
+    /// To receive the responses to them.
+    ResumeSent { earlier: bool },
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Coordinator {
-    pub(crate) doing: Doing,
-    /// Its copy of the notes.
-    pub(crate) notes: Notes,
-    /// Newest end of the primary's log that it saw.
-    pub(crate) end: Point,
-    /// The note of a change that it ends, as it was before its last look.
-    pub(crate) ends: Option<u8>,
+    pub(crate) task: Task,
+    /// Its copy of the intents.
+    pub(crate) intents: Intents,
+    /// Newest end of the primary's log that it knows.
+    pub(crate) known_end: Point,
+    /// The recorded change that it ends, as known before its last survey.
+    pub(crate) ending_change: Option<u8>,
 }
 
 impl Default for Coordinator {
     fn default() -> Self {
         Self {
-            doing: Doing::Idle,
-            notes: Notes::default(),
-            end: Point::new(1, 0),
-            ends: None,
+            task: Task::Idle,
+            intents: Intents::default(),
+            known_end: Point::new(1, 0),
+            ending_change: None,
         }
     }
 }
 
-/// One step of a coordinator.
+/// A step of a coordinator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Event {
     /// A change of primary begins.
     Begin(Id, Kind),
-    /// It is noted that the change is under way.
-    NoteChange,
-    /// Nobody doubts the primary any more, or the change took too long.
-    GiveUp,
-    Look(Next),
-    /// It acts on its last look; an order is noted first.
+    /// The intent of the change is recorded.
+    RecordChange,
+    /// No quorum suspects the primary any more, or the change times out.
+    Abort,
+    Survey(Next),
+    /// It acts on its last survey; an order is recorded first.
     Act,
-    /// The order that is noted is given.
-    Give,
-    /// Instances that appeared are told to stop receiving.
-    Watch,
-    /// The ordered instance leads; whether the platform's answer was heard.
-    SeesLead(bool),
-    /// It does not wait for that any more.
+    /// It sends the recorded order.
+    SendOrder,
+    /// It pauses newly announced instances.
+    PauseNew,
+    /// The ordered instance leads; whether the platform's response was received.
+    ObservesLeader(bool),
+    /// It stops waiting for that; whether the response was received.
     StopsWaiting(bool),
-    /// It looks after stopped replicas.
-    Mend,
-    /// It notes that replicas are told to receive again.
-    Note,
-    Tell,
-    AllAnswered,
-    NotAllAnswered,
-    /// The note is so old that nothing is on its way any more.
-    NoteExpires,
-    /// No change is under way any more.
+    /// It checks for paused replicas.
+    Repair,
+    /// It records the intent of resuming replicas.
+    RecordResume,
+    SendResume,
+    AllResponded,
+    NotAllResponded,
+    /// The intent is so old that no command can be in flight any more.
+    IntentExpires,
+    /// No change is in progress any more.
     End,
 }
--- a/crates/policy/tests/handover/findings.rs
+++ b/crates/policy/tests/handover/findings.rs
@@ -1,5 +1,5 @@
-//! What searches found in earlier states of the code, one world for each, and the rules
-//! without which they find it again.
+//! Counterexamples that searches found in earlier states of the code, one configuration for
+//! each, and the guards without which they are found again.
 
 use crate::cfg::{Budget, Cfg, Guard};
 use crate::search;
@@ -15,23 +15,23 @@
     }
 }
 
-/// Replicas receive again while an order is on its way that had no answer, or that was taken.
+/// Replicas receive again while an order is in flight that has no response yet or was accepted.
 #[test]
-fn the_order_that_voids_others_promotes_nobody() {
+fn a_voiding_order_promotes_no_instance() {
     let budget = Budget {
         repeats: 1,
         refusals: 1,
-        cuts: 1,
+        partitions: 1,
         heals: 1,
         ..Budget::one()
     };
-    let guards = [Guard::Stopped, Guard::Time, Guard::Earlier];
-    search::proves("a late order", &guards, &cfg(40, budget));
+    let guards = [Guard::StayPaused, Guard::EffectTimeout, Guard::EarlierOrder];
+    search::requires("a late order", &guards, &cfg(40, budget));
 }
 
-/// The same while a primary that leaves goes on.
+/// The same while a primary that is being decommissioned continues to serve.
 #[test]
-fn the_voiding_order_of_a_planned_change_promotes_nobody() {
+fn a_voiding_order_of_a_planned_change_promotes_no_instance() {
     let budget = Budget {
         repeats: 1,
         refusals: 1,
@@ -41,31 +41,31 @@
         leaving: true,
         ..cfg(40, budget)
     };
-    let guards = [Guard::Stopped, Guard::Time, Guard::Earlier];
-    search::proves("a late order of a planned change", &guards, &cfg);
+    let guards = [Guard::StayPaused, Guard::EffectTimeout, Guard::EarlierOrder];
+    search::requires("a late order of a planned change", &guards, &cfg);
 }
 
-/// The instance of a planned change's order is itself taken out of service.
+/// The instance of the order of a planned change is itself decommissioned.
 #[test]
-fn the_second_order_of_a_planned_change_names_no_other() {
+fn the_second_order_of_a_planned_change_promotes_no_other() {
     let budget = Budget {
         orders: 2,
         repeats: 1,
-        leaves: 1,
+        decommissions: 1,
         ..Budget::one()
     };
     let cfg = Cfg {
         leaving: true,
         ..cfg(28, budget)
     };
-    let guards = [Guard::Ordered];
-    search::proves("two orders of a planned change", &guards, &cfg);
+    let guards = [Guard::PendingOrder];
+    search::requires("two orders of a planned change", &guards, &cfg);
 }
 
-/// An order that was given twice had no answer the second time. It is carried out in the
-/// middle of the next change, whose order names another.
+/// An order was given twice, the second time without a response. It takes effect during the
+/// next change, whose order promotes another instance.
 #[test]
-fn a_late_order_of_the_change_before_is_void() {
+fn a_late_order_of_the_previous_change_is_void() {
     let budget = Budget {
         changes: 2,
         orders: 2,
@@ -73,63 +73,63 @@
         ..Budget::one()
     };
     let cfg = cfg(34, budget);
-    search::holds("a late order of the change before", &cfg);
-    let stopped = Cfg {
+    search::holds("a late order of the previous change", &cfg);
+    let paused = Cfg {
         leaving: true,
-        stopped: bit(2),
+        paused: bit(2),
         depth: 32,
         ..cfg
     };
     let guards = [Guard::VoidEarlier];
-    search::proves("the same beside a stopped replica", &guards, &stopped);
+    search::requires("the same beside a paused replica", &guards, &paused);
 }
 
-/// The same of two coordinators.
+/// The same with two coordinators.
 #[test]
-fn the_order_of_a_successor_names_no_other() {
+fn the_order_of_a_successor_promotes_no_other() {
     let budget = Budget {
         changes: 2,
         orders: 2,
-        cuts: 1,
+        partitions: 1,
         heals: 1,
-        lost_duties: 1,
+        lost_roles: 1,
         ..Budget::one()
     };
     search::holds("two orders of two coordinators", &cfg(20, budget));
 }
 
-/// An order to receive again is noted by a coordinator that has lost its duty, or before that,
-/// and its successor does not know of it and counts on the replica as stopped.
+/// A coordinator records a resume command after it lost the role, or just before. Its successor
+/// does not know the command and relies on the replica being paused.
 #[test]
-fn a_successor_knows_of_an_order_to_receive_again() {
+fn a_successor_knows_a_pending_resume_command() {
     let budget = Budget {
         changes: 2,
-        cuts: 1,
-        lost_duties: 1,
+        partitions: 1,
+        lost_roles: 1,
         ..Budget::one()
     };
-    let guards = [Guard::Duty, Guard::Claim];
-    search::proves("an order to receive again", &guards, &cfg(30, budget));
+    let guards = [Guard::Role, Guard::Claim];
+    search::requires("a pending resume command", &guards, &cfg(30, budget));
 }
 
-/// A change that was given up, lost its coordinator or had no answer leaves a group that can
+/// A change that was aborted, lost its coordinator, or got no response leaves a group that can
 /// be made to serve again.
 #[test]
-fn a_change_can_end() {
+fn a_group_recovers_after_a_change() {
     let budget = Budget {
-        cuts: 1,
+        partitions: 1,
         heals: 1,
-        lost_duties: 1,
+        lost_roles: 1,
         ..Budget::one()
     };
-    search::ends("a change ends", &cfg(22, budget));
+    search::recovers("a group recovers", &cfg(22, budget));
 }
 
-/// Two orders name different instances. The first is carried out between the look and the
-/// arrival of the second, and lets all replicas receive, which the second counted on as
-/// stopped.
+/// Two orders promote different instances. The first takes effect between the survey and the
+/// arrival of the second, and resumes all replicas, although the second relies on them being
+/// paused.
 #[test]
-fn the_second_of_two_orders_names_no_other() {
+fn the_second_of_two_orders_promotes_no_other() {
     let budget = Budget {
         orders: 2,
         crashes: 1,
@@ -138,33 +138,33 @@
         ..Budget::one()
     };
     let cfg = Cfg {
-        steady: bit(0),
+        never_crash: bit(0),
         ..cfg(28, budget)
     };
     search::holds("two orders", &cfg);
 }
 
-/// The primary and a replica are cut off together, from the store as well. They go on
-/// acknowledging, and the coordinator does not know up to where.
+/// The primary and a replica are partitioned together, also from the store. They continue to
+/// acknowledge writes, and the coordinator does not know up to which position.
 #[test]
-fn a_cut_off_pair_acknowledges() {
+fn a_partitioned_pair_acknowledges() {
     let budget = Budget {
-        cuts: 2,
+        partitions: 2,
         lapses: 2,
         ..Budget::one()
     };
     let cfg = Cfg {
-        lapses_alive: true,
+        running_may_lapse: true,
         stale_proofs: true,
         ..cfg(24, budget)
     };
-    search::holds("a pair cut off together", &cfg);
+    search::holds("a pair partitioned together", &cfg);
 }
 
-/// The same of a replica that crashes and is no longer announced, where the coordinator has
-/// not heard of the last write.
+/// The same with a replica that crashes and is no longer announced, where the coordinator does
+/// not know the last write.
 #[test]
-fn a_stopped_primary_alone_holds_what_a_lost_replica_acknowledged() {
+fn a_demoted_primary_alone_holds_what_a_lost_replica_acknowledged() {
     let budget = Budget {
         crashes: 1,
         lapses: 1,
@@ -177,21 +177,22 @@
     search::holds("a replica is lost", &cfg);
 }
 
-/// The notes are read after the look. A former coordinator sees its order carried out between
-/// the two, and deletes the note: its successor names another by what it saw before.
+/// The intents are read after the survey. A former coordinator sees its order take effect
+/// between the two and deletes the intent: its successor promotes another instance because of
+/// what it saw before.
 #[test]
-fn a_note_that_goes_after_the_look_still_counts() {
+fn an_intent_deleted_after_the_survey_still_counts() {
     let budget = Budget {
         changes: 2,
         orders: 2,
-        leaves: 1,
-        lost_duties: 1,
+        decommissions: 1,
+        lost_roles: 1,
         ..Budget::one()
     };
     let cfg = Cfg {
         leaving: true,
-        stopped: bit(1) | bit(2),
+        paused: bit(1) | bit(2),
         ..cfg(24, budget)
     };
-    search::holds("a note that goes after the look", &cfg);
+    search::holds("an intent deleted after the survey", &cfg);
 }
--- a/crates/policy/tests/handover/happen.rs
+++ b/crates/policy/tests/handover/happen.rs
@@ -1,18 +1,18 @@
-//! What each event does to the world.
+//! The effect of each event on the world.
 
 use crate::cfg::{Cfg, Guard};
 use crate::coordinator;
-use crate::world::{Event, Fault, Id, Instance, Listing, Order, Own, World, bit, has};
+use crate::world::{Announcement, Command, Event, Id, Instance, Order, Violation, World, bit, has};
 
 impl World {
-    /// Lets something happen.
-    pub(crate) fn apply(&mut self, cfg: &Cfg, event: Event) -> Result<(), Fault> {
-        let result = self.happen(cfg, event);
-        coordinator::end_without_duty(self, cfg);
+    /// Applies an event.
+    pub(crate) fn apply(&mut self, cfg: &Cfg, event: Event) -> Result<(), Violation> {
+        let result = self.transition(cfg, event);
+        coordinator::end_without_role(self, cfg);
         result
     }
 
-    fn happen(&mut self, cfg: &Cfg, event: Event) -> Result<(), Fault> {
+    fn transition(&mut self, cfg: &Cfg, event: Event) -> Result<(), Violation> {
         match event {
             Event::Write => {
                 let commit = cfg.budget.writes - self.left.writes;
@@ -27,19 +27,19 @@
                 self.instances[id].paused = 0;
                 coordinator::restarted(self, id);
             }
-            Event::Return(id) => self.come_back(id),
+            Event::Return(id) => self.return_with_new_id(id),
             Event::Lapse(id) => {
                 self.left.lapses -= 1;
-                self.instances[id].listing = Listing::Lapsed;
+                self.instances[id].announcement = Announcement::Lapsed;
             }
             Event::Announce(id) => {
-                self.instances[id].listing = Listing::Listed;
+                self.instances[id].announcement = Announcement::Announced;
                 self.instances[id].hidden = false;
             }
-            Event::Count(id) => self.count(cfg, id),
+            Event::MakeEligible(id) => self.make_eligible(cfg, id),
             Event::Start => self.start(),
-            Event::Leave(id) => {
-                self.left.leaves -= 1;
+            Event::Decommission(id) => {
+                self.left.decommissions -= 1;
                 self.leaving |= bit(id);
             }
             Event::Arrive(order) => self.arrive(order),
@@ -47,39 +47,39 @@
                 self.left.refusals -= 1;
                 self.refuse(order);
             }
-            Event::CarryOut(order) => return self.carry_out(order),
-            Event::Deliver(id, own) => self.deliver(id, own),
-            Event::LoseDuty => {
-                self.left.lost_duties -= 1;
+            Event::TakeEffect(order) => return self.take_effect(order),
+            Event::Deliver(id, command) => self.deliver(id, command),
+            Event::LoseRole => {
+                self.left.lost_roles -= 1;
                 self.holder += 1;
                 if cfg.off != Some(Guard::Claim) {
-                    self.coordinators[self.holder].notes = self.notes;
+                    self.coordinators[self.holder].intents = self.intents;
                 }
             }
-            Event::Lapsed => {
+            Event::IntentLapsed => {
                 self.orders.clear();
-                self.notes.lead = None;
+                self.intents.promotion = None;
                 for this in &mut self.coordinators {
-                    this.notes.lead = None;
+                    this.intents.promotion = None;
                 }
             }
-            Event::CatchUp(at) => self.coordinators[at].notes = self.notes,
+            Event::CatchUp(at) => self.coordinators[at].intents = self.intents,
             Event::Coordinator(at, event) => coordinator::apply(self, at, event, cfg),
-            event => self.reach(event),
+            event => self.change_reachability(event),
         }
         Ok(())
     }
 
-    /// Changes who reaches whom.
-    fn reach(&mut self, event: Event) {
+    /// Changes which instances are reachable.
+    fn change_reachability(&mut self, event: Event) {
         match event {
-            Event::Cut(id) => {
-                self.left.cuts -= 1;
-                self.cut |= bit(id);
+            Event::Partition(id) => {
+                self.left.partitions -= 1;
+                self.partitioned |= bit(id);
             }
             Event::Heal(id) => {
                 self.left.heals -= 1;
-                self.cut &= !bit(id);
+                self.partitioned &= !bit(id);
             }
             Event::Full(id) => {
                 self.left.fulls -= 1;
@@ -95,80 +95,80 @@
         let term = self.instances[self.primary].term;
         self.instances.push(Instance {
             runs: true,
-            listing: Listing::Unknown,
+            announcement: Announcement::NotYet,
             leads: false,
             term,
-            held: 0,
+            log_term: 0,
             log: 0,
             paused: 0,
-            born: 0,
+            incarnation: 0,
             hidden: false,
         });
     }
 
-    /// What was meant for the earlier id does not reach it.
-    fn come_back(&mut self, id: Id) {
+    /// Orders and commands for the previous id do not reach the instance.
+    fn return_with_new_id(&mut self, id: Id) {
         self.left.returns -= 1;
         let i = &mut self.instances[id];
         i.runs = true;
         i.paused = 0;
-        i.born += 1;
+        i.incarnation += 1;
         i.hidden = true;
         self.orders.retain(|o| o.instance != id);
         self.leaving &= !bit(id);
-        self.statements.retain(|(to, _)| *to != id);
-        coordinator::forget(self, id);
+        self.commands.retain(|(to, _)| *to != id);
+        coordinator::drop_old_id(self, id);
     }
 
-    fn count(&mut self, cfg: &Cfg, id: Id) {
-        self.counted |= bit(id);
+    fn make_eligible(&mut self, cfg: &Cfg, id: Id) {
+        self.eligible |= bit(id);
         self.acknowledge(cfg, id);
     }
 
     fn crash(&mut self, id: Id) {
         self.left.crashes -= 1;
         self.instances[id].runs = false;
-        self.counted &= !bit(id);
-        // It is down for longer than an order takes.
+        self.eligible &= !bit(id);
+        // It is down for longer than an order takes to take effect.
         self.orders.retain(|o| !o.accepted || o.instance != id);
     }
 
-    /// Proxies see what a replica holds. A connection to it ends with its process, so that one
-    /// that restarts counts anew.
+    /// Proxies see what an eligible replica holds. A connection to a replica closes with
+    /// its process, so a replica that restarts must become eligible again.
     fn acknowledge(&mut self, cfg: &Cfg, id: Id) {
-        if has(self.counted, id) || !cfg.counted() {
-            self.acknowledged |= self.answered & self.instances[id].log;
+        if has(self.eligible, id) || !cfg.needs_eligibility() {
+            self.acknowledged |= self.replicated & self.instances[id].log;
         }
     }
 
-    /// A replica receives all that the primary has, which so becomes answered.
-    fn receive(&mut self, cfg: &Cfg, id: Id) -> Result<(), Fault> {
+    /// A replica receives everything that the primary has, so the primary responds to it all.
+    fn receive(&mut self, cfg: &Cfg, id: Id) -> Result<(), Violation> {
         let primary = self.instances[self.primary];
         let i = &mut self.instances[id];
         i.log = primary.log;
-        i.held = primary.held;
+        i.log_term = primary.log_term;
         i.term = primary.term;
-        self.answered |= primary.log;
+        self.replicated |= primary.log;
         self.acknowledge(cfg, id);
         let leaders = self.instances.iter();
         let leaders = leaders.filter(|i| i.runs && i.leads && i.term == primary.term);
         if leaders.count() > 1 {
-            return Err(Fault::TwoLeaders);
+            return Err(Violation::TwoLeaders);
         }
         Ok(())
     }
 
-    /// The platform takes an order, or refuses it.
+    /// The platform accepts an order, or refuses it.
     fn arrive(&mut self, order: Order) {
-        if order.token < self.seen || !self.instances[order.instance].runs {
+        if order.token < self.platform_token || !self.instances[order.instance].runs {
             self.refuse(order);
             return;
         }
         self.orders.retain(|o| *o != order);
-        self.seen = order.token;
-        // Those that would be refused.
+        self.platform_token = order.token;
+        // Orders that would be refused now.
         self.orders.retain(|o| o.accepted || o.token > order.token);
-        coordinator::answered(self, order.token, true);
+        coordinator::record_response(self, order.token, true);
         if order.instance != self.primary || !self.instances[order.instance].leads {
             let accepted = Order {
                 accepted: true,
@@ -181,11 +181,11 @@
 
     fn refuse(&mut self, order: Order) {
         self.orders.retain(|o| *o != order);
-        coordinator::answered(self, order.token, false);
+        coordinator::record_response(self, order.token, false);
     }
 
-    /// An instance leads the next term with what it holds.
-    fn carry_out(&mut self, order: Order) -> Result<(), Fault> {
+    /// An instance leads the next term with the log that it holds.
+    fn take_effect(&mut self, order: Order) -> Result<(), Violation> {
         self.orders.retain(|o| *o != order);
         let next = order.instance;
         if !self.instances[next].runs || next == self.primary && self.instances[next].leads {
@@ -204,28 +204,28 @@
         }
         self.primary = next;
         self.instances[next].leads = true;
-        self.instances[next].held = term;
+        self.instances[next].log_term = term;
         if self.acknowledged & !log != 0 {
-            return Err(Fault::Lost(next));
+            return Err(Violation::Lost(next));
         }
         Ok(())
     }
 
-    pub(crate) fn deliver(&mut self, id: Id, own: Own) {
-        self.statements.retain(|s| *s != (id, own));
+    pub(crate) fn deliver(&mut self, id: Id, command: Command) {
+        self.commands.retain(|s| *s != (id, command));
         let i = &mut self.instances[id];
-        match own {
-            Own::Pause(term) if !i.leads && term > i.term => i.paused = i.paused.max(term),
-            Own::Demote(term) if i.leads && term > i.term => i.leads = false,
-            Own::Resume => i.paused = 0,
-            Own::Pause(_) | Own::Demote(_) => {}
+        match command {
+            Command::Pause(term) if !i.leads && term > i.term => i.paused = i.paused.max(term),
+            Command::Demote(term) if i.leads && term > i.term => i.leads = false,
+            Command::Resume => i.paused = 0,
+            Command::Pause(_) | Command::Demote(_) => {}
         }
     }
 
-    pub(crate) fn send(&mut self, id: Id, own: Own) {
-        if !self.statements.contains(&(id, own)) {
-            self.statements.push((id, own));
-            self.statements.sort_unstable();
+    pub(crate) fn send(&mut self, id: Id, command: Command) {
+        if !self.commands.contains(&(id, command)) {
+            self.commands.push((id, command));
+            self.commands.sort_unstable();
         }
     }
 }
--- a/crates/policy/tests/handover/order.rs
+++ b/crates/policy/tests/handover/order.rs
@@ -1,107 +1,126 @@
-//! Orders to the platform and their note in the store.
+//! Promotion orders to the platform and their intents in the store.
 
 use model::unit::Span;
 use policy::order;
 use policy::takeover::OrderResponse;
 
 use crate::cfg::{Cfg, Guard};
-use crate::doing::{Doing, Given, Lead, Purpose};
+use crate::doing::{GivenOrder, Promotion, Purpose, Task};
 use crate::look;
 use crate::world::{Id, World};
 
-/// Notes an order, unless one for another instance is noted that was not known.
-pub(crate) fn note(world: &mut World, at: usize, mut purpose: Purpose, next: Id) -> Doing {
-    let born = look::known_born(&world.instances[next]);
-    let known = world.coordinators[at].notes.lead;
-    let other = world.notes.lead.filter(|lead| Some(*lead) != known);
-    if other.is_some_and(|lead| (lead.instance, lead.born) != (next, born)) {
-        world.coordinators[at].notes.lead = other;
-        return without(purpose);
+/// Records the intent of an order, unless the store holds one for another instance that was
+/// not known here.
+pub(crate) fn record(world: &mut World, at: usize, mut purpose: Purpose, next: Id) -> Task {
+    let incarnation = look::known_incarnation(&world.instances[next]);
+    let known = world.coordinators[at].intents.promotion;
+    let other = world
+        .intents
+        .promotion
+        .filter(|promotion| Some(*promotion) != known);
+    if other
+        .is_some_and(|promotion| (promotion.instance, promotion.incarnation) != (next, incarnation))
+    {
+        world.coordinators[at].intents.promotion = other;
+        return on_failure(purpose);
     }
-    let repeats = known.is_some_and(|lead| lead.instance == next);
+    let repeats = known.is_some_and(|promotion| promotion.instance == next);
     let left = match repeats || !matches!(purpose, Purpose::Promote(..)) {
         true => &mut world.left.repeats,
         false => &mut world.left.orders,
     };
     if *left == 0 {
-        return without(purpose);
+        return on_failure(purpose);
     }
     *left -= 1;
     world.token += 1;
     let token = world.token;
-    let lead = Some(Lead {
+    let promotion = Some(Promotion {
         instance: next,
-        born,
+        incarnation,
         token,
     });
-    world.notes.lead = lead;
-    world.coordinators[at].notes.lead = lead;
-    if let Purpose::Promote(change, ..) | Purpose::Leave(change, _) = &mut purpose {
-        change.noted = true;
+    world.intents.promotion = promotion;
+    world.coordinators[at].intents.promotion = promotion;
+    if let Purpose::Promote(change, ..) | Purpose::VoidThenAct(change, _) = &mut purpose {
+        change.order_recorded = true;
     }
-    Doing::Noted(Given {
+    Task::Recorded(GivenOrder {
         purpose,
         next,
         token,
         earlier: known.is_some(),
-        taken: None,
+        accepted: None,
     })
 }
 
-/// What is done if an order has come to nothing.
-pub(crate) const fn without(purpose: Purpose) -> Doing {
+/// The next task if an order was not sent or had no effect.
+pub(crate) const fn on_failure(purpose: Purpose) -> Task {
     match purpose {
-        Purpose::Promote(change, ..) | Purpose::Leave(change, _) => Doing::Change(change),
-        Purpose::Receive(0) => Doing::Idle,
-        Purpose::Receive(stopped) => Doing::Note { stopped },
+        Purpose::Promote(change, ..) | Purpose::VoidThenAct(change, _) => Task::Change(change),
+        Purpose::VoidThenResume(0) => Task::Idle,
+        Purpose::VoidThenResume(paused) => Task::RecordResume { paused },
     }
 }
 
-pub(crate) fn end(world: &mut World, at: usize, given: &Given, heard: bool, cfg: &Cfg) -> Doing {
+/// The next task when the wait for an order ends; `responded` tells whether the platform did.
+pub(crate) fn end(
+    world: &mut World,
+    at: usize,
+    given: &GivenOrder,
+    responded: bool,
+    cfg: &Cfg,
+) -> Task {
     if matches!(given.purpose, Purpose::Promote(..)) {
-        settle(world, at, given, false, heard, cfg);
-        return match heard && given.taken == Some(true) {
-            true => Doing::Resume,
-            false => without(given.purpose),
+        settle(world, at, given, false, responded, cfg);
+        return match responded && given.accepted == Some(true) {
+            true => Task::Resume,
+            false => on_failure(given.purpose),
         };
     }
-    if !heard || given.taken != Some(true) {
-        return without(given.purpose);
+    if !responded || given.accepted != Some(true) {
+        return on_failure(given.purpose);
     }
-    forget_lead(world, at, given.token);
+    delete_promotion_intent(world, at, given.token);
     match given.purpose {
-        Purpose::Leave(change, Some(decision)) => Doing::Decided(change, decision),
-        purpose => without(purpose),
+        Purpose::VoidThenAct(change, Some(decision)) => Task::Decided(change, decision),
+        purpose => on_failure(purpose),
     }
 }
 
-/// Deletes the note of an order that can have no effect any more.
+/// Deletes the intent of an order that can no longer take effect.
 pub(crate) fn settle(
     world: &mut World,
     at: usize,
-    given: &Given,
-    led: bool,
-    heard: bool,
+    given: &GivenOrder,
+    leads: bool,
+    responded: bool,
     cfg: &Cfg,
 ) {
-    let answer = given.taken.filter(|_| heard).map(|taken| match taken {
-        true => OrderResponse::Accepted,
-        false => OrderResponse::Conflict,
-    });
-    let under_way = world.orders.iter().any(|o| o.token == given.token);
-    let since = match under_way && cfg.off != Some(Guard::Time) {
+    let response = given
+        .accepted
+        .filter(|_| responded)
+        .map(|accepted| match accepted {
+            true => OrderResponse::Accepted,
+            false => OrderResponse::Conflict,
+        });
+    let in_progress = world.orders.iter().any(|o| o.token == given.token);
+    let since = match in_progress && cfg.off != Some(Guard::EffectTimeout) {
         true => Span::from_millis(0),
         false => order::EFFECT_TIMEOUT,
     };
-    let earlier = given.earlier && cfg.off != Some(Guard::Earlier);
-    let forgets = led && cfg.off == Some(Guard::VoidEarlier);
-    if forgets || order::is_settled(answer, earlier, led, since) {
-        forget_lead(world, at, given.token);
+    let earlier = given.earlier && cfg.off != Some(Guard::EarlierOrder);
+    let deletes = leads && cfg.off == Some(Guard::VoidEarlier);
+    if deletes || order::is_settled(response, earlier, leads, since) {
+        delete_promotion_intent(world, at, given.token);
     }
 }
 
-fn forget_lead(world: &mut World, at: usize, token: u8) {
-    let is = |lead: &Lead| lead.token == token;
-    world.notes.lead.take_if(|lead| is(lead));
-    world.coordinators[at].notes.lead.take_if(|lead| is(lead));
+fn delete_promotion_intent(world: &mut World, at: usize, token: u8) {
+    let is = |promotion: &Promotion| promotion.token == token;
+    world.intents.promotion.take_if(|promotion| is(promotion));
+    world.coordinators[at]
+        .intents
+        .promotion
+        .take_if(|promotion| is(promotion));
 }
--- a/crates/policy/tests/handover/search.rs
+++ b/crates/policy/tests/handover/search.rs
@@ -1,21 +1,21 @@
-//! Breadth-first search, so that the first counterexample is a shortest one.
+//! Breadth-first search, so that the first counterexample found is a shortest one.
 
 use std::hash::{BuildHasherDefault, Hasher};
 
 use crate::cfg::{Budget, Cfg, Guard};
-use crate::world::{Event, Fault, World};
+use crate::world::{Event, Violation, World};
 
-/// Steps of a run, where more than each test's own.
+/// Environment variable: search depth, if greater than that of each test.
 const DEPTH: &str = "POMELO_MODEL_DEPTH";
 
 /// Worlds in the order in which they were reached.
-type Worlds = indexmap::IndexSet<World, BuildHasherDefault<Fast>>;
+type Worlds = indexmap::IndexSet<World, BuildHasherDefault<FastHasher>>;
 
-/// Hashes a world, which nobody chooses to collide, at little cost.
+/// A fast hasher; no adversary chooses the worlds, so collisions need no protection.
 #[derive(Default)]
-pub(crate) struct Fast(u64);
+pub(crate) struct FastHasher(u64);
 
-impl Hasher for Fast {
+impl Hasher for FastHasher {
     fn write(&mut self, bytes: &[u8]) {
         for byte in bytes {
             self.write_u8(*byte);
@@ -39,15 +39,15 @@
     }
 }
 
-/// What a search found.
+/// The result of a search.
 #[derive(Debug)]
 pub(crate) struct Outcome {
     pub(crate) states: usize,
-    /// Steps after which nothing new was reached, or the bound.
+    /// Depth after which nothing new was reached, or the limit.
     pub(crate) depth: usize,
-    /// Whether every state was visited that the events allow.
+    /// Whether every reachable state was visited.
     pub(crate) complete: bool,
-    pub(crate) found: Option<(Fault, Vec<String>)>,
+    pub(crate) found: Option<(Violation, Vec<String>)>,
 }
 
 fn depth(cfg: &Cfg) -> usize {
@@ -55,11 +55,11 @@
     cfg.depth.max(more.unwrap_or_default())
 }
 
-/// Visits all states that are reached within the depth.
+/// Visits all states that are reachable within the depth.
 pub(crate) fn search(cfg: &Cfg) -> Outcome {
     let depth = depth(cfg);
     let mut seen = Worlds::from_iter([World::new(cfg)]);
-    let mut from: Vec<Option<(usize, Event)>> = vec![None];
+    let mut parents: Vec<Option<(usize, Event)>> = vec![None];
     let (mut begin, mut end) = (0, 1);
     for at_depth in 0..depth {
         for at in begin..end {
@@ -69,16 +69,16 @@
                 let result = next.apply(cfg, event);
                 let (to, new) = seen.insert_full(next);
                 if new {
-                    from.push(Some((at, event)));
+                    parents.push(Some((at, event)));
                 }
-                if let Err(fault) = result {
-                    let mut steps = trace(&seen, &from, at);
+                if let Err(violation) = result {
+                    let mut steps = trace(&seen, &parents, at);
                     steps.push(line(steps.len(), event, &seen[to]));
                     return Outcome {
                         states: seen.len(),
                         depth: at_depth + 1,
                         complete: false,
-                        found: Some((fault, steps)),
+                        found: Some((violation, steps)),
                     };
                 }
             }
@@ -105,10 +105,10 @@
     format!("{:>2}. {:<62} {world}", at + 1, event.to_string())
 }
 
-fn trace(seen: &Worlds, from: &[Option<(usize, Event)>], at: usize) -> Vec<String> {
+fn trace(seen: &Worlds, parents: &[Option<(usize, Event)>], at: usize) -> Vec<String> {
     let mut events = Vec::new();
     let mut at = at;
-    while let Some((before, event)) = from[at] {
+    while let Some((before, event)) = parents[at] {
         events.push((event, at));
         at = before;
     }
@@ -119,20 +119,20 @@
 }
 
 impl Outcome {
-    /// The search in a few lines.
+    /// The result as text.
     fn report(&self, name: &str) -> String {
         let Self { states, depth, .. } = self;
-        let all = if self.complete { ", all of them" } else { "" };
+        let all = if self.complete { ", complete" } else { "" };
         let mut lines = vec![format!("{name}: {states} states{all}, depth {depth}")];
-        if let Some((fault, steps)) = &self.found {
+        if let Some((violation, steps)) = &self.found {
             lines.extend(steps.iter().cloned());
-            lines.push(format!("    {fault:?}"));
+            lines.push(format!("    {violation:?}"));
         }
         lines.join("\n")
     }
 }
 
-/// Nothing that the search allows breaks a promise.
+/// Asserts that no event violates an invariant.
 pub(crate) fn holds(name: &str, cfg: &Cfg) {
     let outcome = search(cfg);
     let report = outcome.report(name);
@@ -140,7 +140,7 @@
     println!("{report}");
 }
 
-/// Without a guard, the search finds again what it was made for.
+/// Asserts that the search finds a violation.
 fn finds(name: &str, cfg: &Cfg) {
     let outcome = search(cfg);
     let report = outcome.report(name);
@@ -148,8 +148,9 @@
     println!("{report}");
 }
 
-/// With all of these guards nothing is found, and without any one of them something is.
-pub(crate) fn proves(name: &str, guards: &[Guard], cfg: &Cfg) {
+/// Asserts that no violation is found with all of these guards, and that one is found
+/// without any one of them.
+pub(crate) fn requires(name: &str, guards: &[Guard], cfg: &Cfg) {
     for guard in guards {
         let off = Some(*guard);
         let without = Cfg { off, ..cfg.clone() };
@@ -158,33 +159,33 @@
     holds(name, cfg);
 }
 
-/// From every state in which nothing is under way, the group can be made to serve again by
-/// one more change and one look after stopped replicas.
-pub(crate) fn ends(name: &str, cfg: &Cfg) {
+/// Asserts that from every idle state, one more change and one check for paused replicas
+/// can make the group serve again.
+pub(crate) fn recovers(name: &str, cfg: &Cfg) {
     let budget = Budget {
         changes: 1,
         orders: 1,
-        mends: 1,
+        repairs: 1,
         ..Budget::default()
     };
     let (seen, ..) = visit(cfg, &World::new(cfg), |_| false);
-    let quiet: Worlds = seen
+    let idle: Worlds = seen
         .iter()
-        .filter(|w| w.is_quiet() && !w.is_well())
+        .filter(|w| w.is_idle() && !w.is_healthy())
         .map(|w| w.with_budget(budget))
         .collect();
-    println!("{name}: {} states, {} to end", seen.len(), quiet.len());
-    for world in quiet {
-        let (tried, well) = visit(cfg, &world, World::is_well);
+    println!("{name}: {} states, {} to recover", seen.len(), idle.len());
+    for world in idle {
+        let (tried, healthy) = visit(cfg, &world, World::is_healthy);
         assert!(
-            well,
-            "{name}: {} states, none of them well: {world}",
+            healthy,
+            "{name}: {} states, none of them healthy: {world}",
             tried.len()
         );
     }
 }
 
-/// All states that are reached, until one is found.
+/// All reachable states, until one satisfies `found`.
 fn visit(cfg: &Cfg, from: &World, found: impl Fn(&World) -> bool) -> (Worlds, bool) {
     let mut seen = Worlds::from_iter([from.clone()]);
     let (mut begin, mut end) = (0, 1);
@@ -193,7 +194,7 @@
             let world = seen[at].clone();
             for event in world.events(cfg) {
                 let mut next = world.clone();
-                // What is lost on the way is another search's concern.
+                // Violations on the way are checked by other searches.
                 if next.apply(cfg, event).is_err() {
                     continue;
                 }
--- a/crates/policy/tests/handover/show.rs
+++ b/crates/policy/tests/handover/show.rs
@@ -1,9 +1,9 @@
-//! Traces in words.
+//! Traces as text.
 
 use std::fmt;
 
-use crate::doing::{self, Decision, Doing, Purpose};
-use crate::world::{Event, Listing, Order, World, name, names};
+use crate::doing::{self, Decision, Purpose, Task};
+use crate::world::{Announcement, Event, Order, World, name, names};
 
 impl fmt::Display for Event {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -15,34 +15,34 @@
             Self::Return(id) => write!(f, "{} restarts under another id", name(id)),
             Self::Lapse(id) => write!(f, "{} is no longer announced", name(id)),
             Self::Announce(id) => write!(f, "{} is announced", name(id)),
-            Self::Count(id) => write!(f, "proxies count {} as a replica", name(id)),
+            Self::MakeEligible(id) => write!(f, "{} becomes eligible", name(id)),
             Self::Start => write!(f, "n starts"),
-            Self::Leave(id) => write!(f, "{} is being taken out of service", name(id)),
-            Self::Cut(id) => write!(f, "{} is cut off from the coordinators", name(id)),
-            Self::Heal(id) => write!(f, "{} is reached by the coordinators again", name(id)),
-            Self::Full(id) => write!(f, "{} has no slot for a coordinator", name(id)),
-            Self::Free(id) => write!(f, "{} has slots again", name(id)),
-            Self::Refuse(o) => write!(f, "platform: {} is not taken", Named(o)),
-            Self::Lapsed => write!(f, "the note of the order lapses"),
-            Self::Arrive(o) => write!(f, "platform: {} arrives", Named(o)),
-            Self::CarryOut(o) => write!(f, "platform: {} is carried out", Named(o)),
-            Self::Deliver(id, own) => write!(f, "{} carries out {own:?}", name(id)),
-            Self::LoseDuty => write!(f, "the duty goes to the successor"),
+            Self::Decommission(id) => write!(f, "{} is being decommissioned", name(id)),
+            Self::Partition(id) => write!(f, "{} is partitioned from the coordinators", name(id)),
+            Self::Heal(id) => write!(f, "{} is reachable for the coordinators again", name(id)),
+            Self::Full(id) => write!(f, "{} has no free slot for a coordinator", name(id)),
+            Self::Free(id) => write!(f, "{} has free slots again", name(id)),
+            Self::Refuse(o) => write!(f, "platform: {} is refused", OrderName(o)),
+            Self::IntentLapsed => write!(f, "the intent of the order lapses"),
+            Self::Arrive(o) => write!(f, "platform: {} arrives", OrderName(o)),
+            Self::TakeEffect(o) => write!(f, "platform: {} takes effect", OrderName(o)),
+            Self::Deliver(id, command) => write!(f, "{} executes {command:?}", name(id)),
+            Self::LoseRole => write!(f, "the successor acquires the role"),
             Self::CatchUp(at) => write!(f, "c{at}: its copy of the store catches up"),
             Self::Coordinator(at, event) => write!(f, "c{at}: {event}"),
         }
     }
 }
 
-struct Named(Order);
+struct OrderName(Order);
 
-impl fmt::Display for Named {
+impl fmt::Display for OrderName {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "order {} ({})", self.0.token, name(self.0.instance))
     }
 }
 
-/// The standing of the instances, in one line.
+/// The state of the instances, in one line.
 impl fmt::Display for World {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for (id, i) in self.instances.iter().enumerate() {
@@ -57,8 +57,8 @@
             if i.hidden {
                 write!(f, "/hidden")?;
             }
-            if i.listing != Listing::Listed {
-                write!(f, "/{:?}", i.listing)?;
+            if i.announcement != Announcement::Announced {
+                write!(f, "/{:?}", i.announcement)?;
             }
             write!(f, " ")?;
         }
@@ -70,22 +70,22 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Begin(old, kind) => write!(f, "{kind:?}: a change of {} begins", name(*old)),
-            Self::Look(next) => write!(f, "looks at all, and is about to {}", next.doing),
+            Self::Survey(next) => write!(f, "surveys all, next: {}", next.task),
             other => write!(f, "{other:?}"),
         }
     }
 }
 
-impl fmt::Display for Doing {
+impl fmt::Display for Task {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Decided(_, decision) => decision.fmt(f),
-            Self::Void(Purpose::Leave(_, Some(decision)), primary) => {
-                write!(f, "order {} again and {decision}", name(*primary))
+            Self::Void(Purpose::VoidThenAct(_, Some(decision)), primary) => {
+                write!(f, "order {} again, then {decision}", name(*primary))
             }
             Self::Void(_, primary) => write!(f, "order {} again", name(*primary)),
             Self::Resume => write!(f, "end the change"),
-            Self::Note { stopped } => write!(f, "let {} receive again", names(*stopped)),
+            Self::RecordResume { paused } => write!(f, "resume {}", names(*paused)),
             Self::Idle => write!(f, "do nothing"),
             other => write!(f, "{other:?}"),
         }
@@ -95,9 +95,9 @@
 impl fmt::Display for Decision {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Pause(term, who) => write!(f, "stop {} under {term}", names(*who)),
-            Self::Demote(term, old) => write!(f, "tell {} to stop under {term}", name(*old)),
-            Self::Promote(next, ..) => write!(f, "name {}", name(*next)),
+            Self::Pause(term, targets) => write!(f, "pause {} in term {term}", names(*targets)),
+            Self::Demote(term, old) => write!(f, "demote {} in term {term}", name(*old)),
+            Self::Promote(next, ..) => write!(f, "promote {}", name(*next)),
         }
     }
 }
--- a/crates/policy/tests/handover/world.rs
+++ b/crates/policy/tests/handover/world.rs
@@ -1,11 +1,12 @@
-//! A database group, the platform that carries out orders, and what lies between them.
+//! A database group, the platform that carries out orders, and the messages in flight between
+//! them.
 
 use model::position::{Point, Term};
 use policy::takeover::{Role, State};
 
 use crate::cfg::{Budget, Cfg, Guard};
 use crate::coordinator;
-use crate::doing::{self, Coordinator, Notes};
+use crate::doing::{self, Coordinator, Intents};
 
 /// Index of an instance.
 pub(crate) type Id = usize;
@@ -15,7 +16,7 @@
 
 pub(crate) const NAMES: [&str; 4] = ["p", "a", "b", "n"];
 
-/// Coordinators: the holder of the duty and its successor.
+/// Number of coordinators: the holder of the role and its successor.
 pub(crate) const COORDINATORS: usize = 2;
 
 pub(crate) const fn bit(at: usize) -> Set {
@@ -37,35 +38,35 @@
 
 /// Whether an instance is announced.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub(crate) enum Listing {
-    /// Not yet.
-    Unknown,
-    Listed,
-    /// Not any more.
+pub(crate) enum Announcement {
+    /// Not announced yet.
+    NotYet,
+    Announced,
+    /// No longer announced.
     Lapsed,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Instance {
     pub(crate) runs: bool,
-    pub(crate) listing: Listing,
+    pub(crate) announcement: Announcement,
     pub(crate) leads: bool,
     /// Newest term that it knows.
     pub(crate) term: u8,
-    /// Term of the primary from which it received last.
-    pub(crate) held: u8,
-    /// Commits that it received.
+    /// Term of the primary from which it last received.
+    pub(crate) log_term: u8,
+    /// Commits that it has received.
     pub(crate) log: Set,
     pub(crate) paused: u8,
-    /// How often it returned under another id.
-    pub(crate) born: u8,
-    /// Whether that id is not announced yet, so that only the one before is known.
+    /// How often it restarted under another id.
+    pub(crate) incarnation: u8,
+    /// Whether the present id is not announced yet, so that only the previous one is known.
     pub(crate) hidden: bool,
 }
 
 impl Instance {
     pub(crate) fn received(&self) -> Point {
-        Point::new(u64::from(self.held), u64::from(self.log.count_ones()))
+        Point::new(u64::from(self.log_term), u64::from(self.log.count_ones()))
     }
 
     pub(crate) fn state(&self) -> State {
@@ -81,8 +82,8 @@
         }
     }
 
-    /// Commits are numbered in the order in which they were made, so that two logs agree
-    /// below the first commit that only one of them holds.
+    /// Commits are numbered in the order in which they are made, so two logs agree below
+    /// the first commit that only one of them holds.
     pub(crate) fn roll_back(&mut self, to: Set) {
         let differs = (self.log ^ to).trailing_zeros();
         let common = 1_u8.checked_shl(differs).map_or(Set::MAX, |b| b - 1);
@@ -90,7 +91,7 @@
     }
 }
 
-/// An order to the platform without an answer, or one that is being carried out.
+/// An order to the platform that has no response yet, or that is being carried out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub(crate) struct Order {
     pub(crate) token: u8,
@@ -98,9 +99,9 @@
     pub(crate) accepted: bool,
 }
 
-/// A statement that is on its way to an instance.
+/// A command in flight to an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub(crate) enum Own {
+pub(crate) enum Command {
     Pause(u8),
     Demote(u8),
     Resume,
@@ -109,37 +110,37 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct World {
     pub(crate) instances: Vec<Instance>,
-    /// Instances that the coordinators do not reach.
-    pub(crate) cut: Set,
-    /// Instances that are being taken out of service.
+    /// Instances that the coordinators cannot reach.
+    pub(crate) partitioned: Set,
+    /// Instances that are being decommissioned.
     pub(crate) leaving: Set,
-    /// Instances that have no slot for a coordinator, and say so.
+    /// Instances that reject a coordinator because they have no free slot.
     pub(crate) full: Set,
     pub(crate) orders: Vec<Order>,
-    pub(crate) statements: Vec<(Id, Own)>,
-    /// Highest token that the platform saw.
-    pub(crate) seen: u8,
+    pub(crate) commands: Vec<(Id, Command)>,
+    /// Highest token that the platform accepted.
+    pub(crate) platform_token: u8,
     /// Highest token that was used.
     pub(crate) token: u8,
-    /// Notes of changes that were written.
-    pub(crate) noted: u8,
-    /// The instance that the platform made lead last.
+    /// Number of intents of changes that were recorded.
+    pub(crate) recorded_changes: u8,
+    /// The instance that the platform last made primary.
     pub(crate) primary: Id,
-    /// Replicas whose log proves to a proxy that a commit is safe.
-    pub(crate) counted: Set,
-    /// Commits that some replica received, so that the primary answered them.
-    pub(crate) answered: Set,
-    /// Commits whose callers were told of their success.
+    /// Replicas that may acknowledge a commit to a proxy.
+    pub(crate) eligible: Set,
+    /// Commits that some replica received, so that the primary has responded.
+    pub(crate) replicated: Set,
+    /// Commits that were reported as successful to their callers.
     pub(crate) acknowledged: Set,
-    /// The notes in the store.
-    pub(crate) notes: Notes,
-    /// Who holds the duty.
+    /// The intents in the store.
+    pub(crate) intents: Intents,
+    /// The coordinator that holds the role.
     pub(crate) holder: usize,
     pub(crate) coordinators: [Coordinator; COORDINATORS],
     pub(crate) left: Budget,
 }
 
-/// One thing that happens.
+/// An event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Event {
     Write,
@@ -150,33 +151,33 @@
     Return(Id),
     Lapse(Id),
     Announce(Id),
-    /// Proxies count an instance as a replica from now on.
-    Count(Id),
+    /// From now on, proxies accept acknowledgements of this instance.
+    MakeEligible(Id),
     Start,
-    Leave(Id),
-    Cut(Id),
+    Decommission(Id),
+    Partition(Id),
     Heal(Id),
     Full(Id),
     Free(Id),
     Arrive(Order),
-    /// The platform does not take an order now.
+    /// The platform does not accept an order.
     Refuse(Order),
-    CarryOut(Order),
-    Deliver(Id, Own),
-    LoseDuty,
-    /// The note of an order is so old that it cannot arrive any more.
-    Lapsed,
-    /// A coordinator's copy of the notes becomes as new as the store.
+    TakeEffect(Order),
+    Deliver(Id, Command),
+    LoseRole,
+    /// The intent of an order is so old that the order can no longer arrive.
+    IntentLapsed,
+    /// A coordinator's copy of the intents catches up with the store.
     CatchUp(usize),
     Coordinator(usize, doing::Event),
 }
 
-/// A promise that was broken.
+/// A violated invariant.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) enum Fault {
+pub(crate) enum Violation {
     /// The instance leads without an acknowledged commit.
     Lost(Id),
-    /// Two instances acknowledge in one term.
+    /// Two instances acknowledge commits in one term.
     TwoLeaders,
 }
 
@@ -184,41 +185,41 @@
     pub(crate) fn new(cfg: &Cfg) -> Self {
         let replica = Instance {
             runs: true,
-            listing: Listing::Listed,
+            announcement: Announcement::Announced,
             leads: false,
             term: 1,
-            held: 1,
+            log_term: 1,
             log: 0,
             paused: 0,
-            born: 0,
+            incarnation: 0,
             hidden: false,
         };
         let mut instances = vec![replica; 3];
         instances[0].leads = true;
         for (id, i) in instances.iter_mut().enumerate() {
-            i.paused = 2 * u8::from(has(cfg.stopped, id));
+            i.paused = 2 * u8::from(has(cfg.paused, id));
         }
-        if let Some(gone) = cfg.gone {
-            instances[gone].runs = false;
-            instances[gone].listing = Listing::Lapsed;
+        if let Some(unannounced) = cfg.unannounced {
+            instances[unannounced].runs = false;
+            instances[unannounced].announcement = Announcement::Lapsed;
         }
         let running = instances.iter().enumerate().filter(|(_, i)| i.runs);
-        let counted = running.map(|(id, _)| bit(id)).sum();
+        let eligible = running.map(|(id, _)| bit(id)).sum();
         Self {
             instances,
-            cut: 0,
+            partitioned: 0,
             leaving: Set::from(cfg.leaving),
             full: 0,
             orders: Vec::new(),
-            statements: Vec::new(),
-            seen: 0,
+            commands: Vec::new(),
+            platform_token: 0,
             token: 0,
-            noted: 0,
+            recorded_changes: 0,
             primary: 0,
-            counted,
-            answered: 0,
+            eligible,
+            replicated: 0,
             acknowledged: 0,
-            notes: Notes::default(),
+            intents: Intents::default(),
             holder: 0,
             coordinators: Default::default(),
             left: cfg.budget,
@@ -226,38 +227,41 @@
     }
 
     /// Newest end of the acknowledged log.
-    pub(crate) fn proved(&self) -> Point {
+    pub(crate) fn acknowledged_end(&self) -> Point {
         let primary = &self.instances[self.primary];
         let log = primary.log & self.acknowledged;
-        Point::new(u64::from(primary.held), u64::from(log.count_ones()))
+        Point::new(u64::from(primary.log_term), u64::from(log.count_ones()))
     }
 
-    pub(crate) fn reached(&self, id: Id) -> bool {
-        self.instances[id].runs && !has(self.cut | self.full, id)
+    pub(crate) fn is_reachable(&self, id: Id) -> bool {
+        self.instances[id].runs && !has(self.partitioned | self.full, id)
     }
 
-    /// Whether all instances serve and nothing is under way.
-    pub(crate) fn is_quiet(&self) -> bool {
-        let serves = |i: &Instance| i.runs && !i.hidden && i.listing == Listing::Listed;
-        let idle = |c: &Coordinator| c.doing == doing::Doing::Idle;
+    /// Whether all instances serve and nothing is in flight.
+    pub(crate) fn is_idle(&self) -> bool {
+        let serves =
+            |i: &Instance| i.runs && !i.hidden && i.announcement == Announcement::Announced;
+        let idle = |c: &Coordinator| c.task == doing::Task::Idle;
         self.instances.iter().all(serves)
             && self.coordinators.iter().all(idle)
-            && (self.cut | self.full) == 0
+            && (self.partitioned | self.full) == 0
             && self.orders.is_empty()
-            && self.statements.is_empty()
+            && self.commands.is_empty()
     }
 
     /// Whether writes are acknowledged and all replicas receive.
-    pub(crate) fn is_well(&self) -> bool {
+    pub(crate) fn is_healthy(&self) -> bool {
         self.instances[self.primary].leads && self.instances.iter().all(|i| i.paused == 0)
     }
 
-    /// Whether an order to receive again is on its way.
-    pub(crate) fn may_receive_again(&self) -> bool {
-        self.statements.iter().any(|(_, own)| *own == Own::Resume)
+    /// Whether a resume command is in flight.
+    pub(crate) fn resume_in_flight(&self) -> bool {
+        self.commands
+            .iter()
+            .any(|(_, command)| *command == Command::Resume)
     }
 
-    /// The same with other events to come.
+    /// The same world with another budget of events.
     pub(crate) fn with_budget(&self, left: Budget) -> Self {
         Self {
             left,
@@ -265,12 +269,12 @@
         }
     }
 
-    /// All that may happen next.
+    /// All events that are possible next.
     pub(crate) fn events(&self, cfg: &Cfg) -> Vec<Event> {
         let mut events = Vec::new();
         for at in 0..COORDINATORS {
             let of = coordinator::events(self, at, cfg);
-            // What it does about an instance that appears is faster than that one receives.
+            // It pauses a newly announced instance before that instance receives anything.
             if cfg.announced_first
                 && let Some(first) = coordinator::urgent(self, at, &of)
             {
@@ -278,18 +282,18 @@
             }
             events.extend(of.into_iter().map(|event| Event::Coordinator(at, event)));
             let this = &self.coordinators[at];
-            let idle = this.doing == doing::Doing::Idle;
-            if (at == self.holder || !idle) && this.notes != self.notes {
+            let idle = this.task == doing::Task::Idle;
+            if (at == self.holder || !idle) && this.intents != self.intents {
                 events.push(Event::CatchUp(at));
             }
         }
-        for (id, own) in &self.statements {
-            if self.reached(*id) {
-                events.push(Event::Deliver(*id, *own));
+        for (id, command) in &self.commands {
+            if self.is_reachable(*id) {
+                events.push(Event::Deliver(*id, *command));
             }
         }
         let earliest = self.orders.iter().find(|o| o.accepted);
-        events.extend(earliest.copied().map(Event::CarryOut));
+        events.extend(earliest.copied().map(Event::TakeEffect));
         for order in self.orders.iter().filter(|o| !o.accepted) {
             events.push(Event::Arrive(*order));
             if self.left.refusals > 0 {
@@ -297,10 +301,10 @@
             }
         }
         if coordinator::may_lapse(self) {
-            events.push(Event::Lapsed);
+            events.push(Event::IntentLapsed);
         }
-        if self.left.lost_duties > 0 {
-            events.push(Event::LoseDuty);
+        if self.left.lost_roles > 0 {
+            events.push(Event::LoseRole);
         }
         for id in 0..self.instances.len() {
             self.instance_events(cfg, id, &mut events);
@@ -322,39 +326,48 @@
         push(i.runs && i.leads && left.writes > 0, Event::Write);
         push(self.receives(cfg, id), Event::Receive(id));
         push(
-            i.runs && !has(cfg.steady, id) && left.crashes > 0,
+            i.runs && !has(cfg.never_crash, id) && left.crashes > 0,
             Event::Crash(id),
         );
         push(!i.runs && left.restarts > 0, Event::Restart(id));
-        let may_lapse = !i.runs || cfg.lapses_alive && has(self.cut, id);
-        let listed = i.listing == Listing::Listed;
+        let may_lapse = !i.runs || cfg.running_may_lapse && has(self.partitioned, id);
+        let announced = i.announcement == Announcement::Announced;
         push(!i.runs && left.returns > 0, Event::Return(id));
-        push(may_lapse && listed && left.lapses > 0, Event::Lapse(id));
-        let back = i.listing == Listing::Unknown || !has(self.cut, id);
-        let unlisted = !listed || i.hidden;
-        push(i.runs && unlisted && back, Event::Announce(id));
+        push(may_lapse && announced && left.lapses > 0, Event::Lapse(id));
+        let may_announce = i.announcement == Announcement::NotYet || !has(self.partitioned, id);
+        let unannounced = !announced || i.hidden;
+        push(i.runs && unannounced && may_announce, Event::Announce(id));
         let stays = !has(self.leaving, id);
-        let counts = i.runs && !unlisted && !has(self.counted, id);
-        push(counts && self.may_count(cfg), Event::Count(id));
-        push(i.runs && stays && left.leaves > 0, Event::Leave(id));
-        push(!has(self.cut, id) && left.cuts > 0, Event::Cut(id));
-        push(has(self.cut, id) && left.heals > 0, Event::Heal(id));
+        let candidate = i.runs && !unannounced && !has(self.eligible, id);
+        push(
+            candidate && self.may_become_eligible(cfg),
+            Event::MakeEligible(id),
+        );
+        push(
+            i.runs && stays && left.decommissions > 0,
+            Event::Decommission(id),
+        );
+        push(
+            !has(self.partitioned, id) && left.partitions > 0,
+            Event::Partition(id),
+        );
+        push(has(self.partitioned, id) && left.heals > 0, Event::Heal(id));
         let full = has(self.full, id);
         push(i.runs && !full && left.fulls > 0, Event::Full(id));
         push(full, Event::Free(id));
     }
 
-    /// Proxies count an instance that they reach while no change of primary is noted.
-    fn may_count(&self, cfg: &Cfg) -> bool {
-        let noted = self.notes.change.is_some() && cfg.off != Some(Guard::ChangeNoted);
-        cfg.counted() && !noted
+    /// Whether a reachable instance becomes eligible: no change of primary may be recorded.
+    fn may_become_eligible(&self, cfg: &Cfg) -> bool {
+        let recorded = self.intents.change.is_some() && cfg.off != Some(Guard::ChangeRecorded);
+        cfg.needs_eligibility() && !recorded
     }
 
     fn receives(&self, cfg: &Cfg, id: Id) -> bool {
         let (i, primary) = (&self.instances[id], &self.instances[self.primary]);
-        let ready = !cfg.announced_first || i.listing == Listing::Listed && !i.hidden;
-        let linked = primary.runs && primary.leads;
-        let news = i.log != primary.log || i.held != primary.held;
-        id != self.primary && i.runs && i.paused == 0 && linked && ready && news
+        let ready = !cfg.announced_first || i.announcement == Announcement::Announced && !i.hidden;
+        let primary_leads = primary.runs && primary.leads;
+        let behind = i.log != primary.log || i.log_term != primary.log_term;
+        id != self.primary && i.runs && i.paused == 0 && primary_leads && ready && behind
     }
 }
