--- a/crates/policy/tests/handover/coordinator.rs
+++ b/crates/policy/tests/handover/coordinator.rs
@@ -1,9 +1,9 @@
 //! The coordinator's steps, as `front` takes them: it acts later on what it saw earlier.
 
 use crate::cfg::{Cfg, Guard};
-use crate::doing::{Change, Coordinator, Decision, Event, GivenOrder, Kind, Purpose, Task};
-use crate::look;
 use crate::order;
+use crate::survey;
+use crate::task::{Change, Coordinator, Decision, Event, GivenOrder, Kind, Purpose, Task};
 use crate::world::{Command, Id, Order, Set, World, bit, has};
 
 /// The steps that a coordinator may take next.
@@ -23,7 +23,7 @@
             if !change.recorded {
                 events.push(Event::RecordChange);
             }
-            let surveys = look::during(world, this, change, cfg);
+            let surveys = survey::during(world, this, change, cfg);
             let surveys =
                 surveys.filter(|next| next.task != this.task || next.known_end != this.known_end);
             for survey in surveys.map(Event::Survey) {
@@ -40,7 +40,7 @@
             events
         }
         Task::Ordered(given) => ordered(world, &given, cfg),
-        Task::Resume => vec![Event::Survey(look::after(world, this, cfg))],
+        Task::Resume => vec![Event::Survey(survey::after(world, this, cfg))],
         Task::RecordResume { .. } => vec![Event::RecordResume],
         Task::SendResume { .. } => vec![Event::SendResume],
         Task::ResumeSent { earlier } => {
@@ -88,7 +88,7 @@
     let Purpose::Promote(.., known) = given.purpose else {
         return None;
     };
-    let new = look::new_instances(world, known) != 0 && cfg.off != Some(Guard::PauseNew);
+    let new = survey::unknown(world, known) != 0 && cfg.off != Some(Guard::PauseNew);
     new.then_some(Event::PauseNew)
 }
 
@@ -212,7 +212,7 @@
 
 fn pause_new(world: &mut World, mut given: GivenOrder, cfg: &Cfg) -> GivenOrder {
     if let Purpose::Promote(_, term, known) = &mut given.purpose {
-        let new = look::new_instances(world, *known);
+        let new = survey::unknown(world, *known);
         *known |= new;
         send_each(world, new, Command::Pause(*term));
         if cfg.announced_first {
@@ -351,7 +351,7 @@
 /// The step by which a coordinator pauses a newly announced instance, if it is next.
 pub(crate) fn urgent(world: &World, at: usize, events: &[Event]) -> Option<Event> {
     let decided = match world.coordinators[at].task {
-        Task::Decided(_, Decision::Promote(_, _, known)) => look::new_instances(world, known) != 0,
+        Task::Decided(_, Decision::Promote(_, _, known)) => survey::unknown(world, known) != 0,
         _ => false,
     };
     let first = |e: &&Event| **e == Event::PauseNew || decided && **e == Event::Act;
--- a/crates/policy/tests/handover/show.rs
+++ b/crates/policy/tests/handover/display.rs
@@ -2,7 +2,7 @@
 
 use std::fmt;
 
-use crate::doing::{self, Decision, Purpose, Task};
+use crate::task::{self, Decision, Purpose, Task};
 use crate::world::{Announcement, Event, Order, World, name, names};
 
 impl fmt::Display for Event {
@@ -66,7 +66,7 @@
     }
 }
 
-impl fmt::Display for doing::Event {
+impl fmt::Display for task::Event {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Begin(old, kind) => write!(f, "{kind:?}: a change of {} begins", name(*old)),
--- a/crates/policy/tests/handover/main.rs
+++ b/crates/policy/tests/handover/main.rs
@@ -13,12 +13,12 @@
 
 mod cfg;
 mod coordinator;
-mod doing;
-mod findings;
+mod counterexamples;
+mod display;
 mod guards;
-mod happen;
-mod look;
 mod order;
 mod search;
-mod show;
+mod survey;
+mod task;
+mod transition;
 mod world;
--- a/crates/policy/tests/handover/order.rs
+++ b/crates/policy/tests/handover/order.rs
@@ -5,14 +5,14 @@
 use policy::takeover::OrderResponse;
 
 use crate::cfg::{Cfg, Guard};
-use crate::doing::{GivenOrder, Promotion, Purpose, Task};
-use crate::look;
+use crate::survey;
+use crate::task::{GivenOrder, Promotion, Purpose, Task};
 use crate::world::{Id, World};
 
 /// Records the intent of an order, unless the store holds one for another instance that was
 /// not known here.
 pub(crate) fn record(world: &mut World, at: usize, mut purpose: Purpose, next: Id) -> Task {
-    let incarnation = look::known_incarnation(&world.instances[next]);
+    let incarnation = survey::known_incarnation(&world.instances[next]);
     let known = world.coordinators[at].intents.promotion;
     let other = world
         .intents
--- a/crates/policy/tests/handover/look.rs
+++ b/crates/policy/tests/handover/survey.rs
@@ -6,7 +6,7 @@
 use policy::takeover::{self, InstanceView, Role, Step, Survey};
 
 use crate::cfg::{Cfg, Guard};
-use crate::doing::{Change, Coordinator, Decision, Kind, Promotion, Purpose, Task};
+use crate::task::{Change, Coordinator, Decision, Kind, Promotion, Purpose, Task};
 use crate::world::{self, Announcement, Id, Instance, Set, World, bit, has, name};
 
 /// What a coordinator does after a survey.
@@ -140,7 +140,7 @@
 }
 
 /// Announced instances that are not known.
-pub(crate) fn new_instances(world: &World, known: Set) -> Set {
+pub(crate) fn unknown(world: &World, known: Set) -> Set {
     let instances = world.instances.iter().enumerate();
     let announced =
         instances.filter(|(_, i)| i.announcement == Announcement::Announced && !i.hidden);
--- a/crates/policy/tests/handover/doing.rs
+++ b/crates/policy/tests/handover/task.rs
@@ -3,7 +3,7 @@
 use model::position::Point;
 use policy::takeover::Cause;
 
-use crate::look::Next;
+use crate::survey::Next;
 use crate::world::{Id, Set};
 
 /// The recorded intent of a promotion order.
--- a/crates/policy/tests/handover/world.rs
+++ b/crates/policy/tests/handover/world.rs
@@ -6,7 +6,7 @@
 
 use crate::cfg::{Budget, Cfg, Guard};
 use crate::coordinator;
-use crate::doing::{self, Coordinator, Intents};
+use crate::task::{self, Coordinator, Intents};
 
 /// Index of an instance.
 pub(crate) type Id = usize;
@@ -169,7 +169,7 @@
     IntentLapsed,
     /// A coordinator's copy of the intents catches up with the store.
     CatchUp(usize),
-    Coordinator(usize, doing::Event),
+    Coordinator(usize, task::Event),
 }
 
 /// A violated invariant.
@@ -241,7 +241,7 @@
     pub(crate) fn is_idle(&self) -> bool {
         let serves =
             |i: &Instance| i.runs && !i.hidden && i.announcement == Announcement::Announced;
-        let idle = |c: &Coordinator| c.task == doing::Task::Idle;
+        let idle = |c: &Coordinator| c.task == task::Task::Idle;
         self.instances.iter().all(serves)
             && self.coordinators.iter().all(idle)
             && (self.partitioned | self.full) == 0
@@ -282,7 +282,7 @@
             }
             events.extend(of.into_iter().map(|event| Event::Coordinator(at, event)));
             let this = &self.coordinators[at];
-            let idle = this.task == doing::Task::Idle;
+            let idle = this.task == task::Task::Idle;
             if (at == self.holder || !idle) && this.intents != self.intents {
                 events.push(Event::CatchUp(at));
             }
