--- a/crates/ctl/src/error.rs
+++ b/crates/ctl/src/error.rs
@@ -5,7 +5,7 @@
 
 use miette::Diagnostic;
 use model::position::Revision;
-use model::source::Located;
+use model::source::LocatedError;
 
 use crate::diff::Difference;
 
@@ -31,7 +31,7 @@
     },
     /// The file has faults; each is reported by itself.
     #[error("{} fault(s) in the file", .0.len())]
-    Findings(Vec<Located>),
+    Findings(Vec<LocatedError>),
     /// The file does not say which revision it changes.
     #[error("the store holds revision {0}, and the file does not say which one it changes")]
     #[diagnostic(help(
--- a/crates/front/src/coordinator/newcomers.rs
+++ b/crates/front/src/coordinator/newcomers.rs
@@ -21,7 +21,7 @@
 
 /// The start that an entry tells of.
 pub(super) fn start(entry: &Entry) -> Start {
-    (entry.id.clone(), entry.born)
+    (entry.id.clone(), entry.started_at)
 }
 
 /// Watches for instances that a look did not find.
--- a/crates/front/src/directory/state.rs
+++ b/crates/front/src/directory/state.rs
@@ -365,7 +365,7 @@
                 address = %entry.address,
                 leaving = entry.leaving,
                 claims_primary = entry.claims_primary,
-                born = entry.born,
+                born = entry.started_at,
                 "an instance is announced"
             );
         }
@@ -380,7 +380,7 @@
     /// older is told by their clocks; one that is no longer announced is older in any case.
     fn forget_replaced(&mut self, by: &Entry) {
         let replaced = |known: &Known| {
-            let older = known.missing_since.is_some() || known.entry.born < by.born;
+            let older = known.missing_since.is_some() || known.entry.started_at < by.started_at;
             known.entry.address == by.address && known.entry.id != by.id && older
         };
         let (groups, gone) = (&mut self.changed_groups, &mut self.replaced);
--- a/crates/front/src/session.rs
+++ b/crates/front/src/session.rs
@@ -333,7 +333,7 @@
             }
             Statement::Set { name, value } => self.set(name, value),
             Statement::Prepare { name, shape } => self.prepare(name, shape),
-            Statement::Forget { name } => self.forget(&name),
+            Statement::Deallocate { name } => self.forget(&name),
         }
     }
 
--- a/crates/model/src/document.rs
+++ b/crates/model/src/document.rs
@@ -25,7 +25,7 @@
 
 /// Largest head that is stored as one value. The store accepts a megabyte; well below
 /// it, a change is cheaper to spread as parts.
-pub const WHOLE_LIMIT: usize = 64 << 10;
+pub const SINGLE_VALUE_LIMIT: usize = 64 << 10;
 
 /// Entries that share a leaf on average. Fewer make the index longer, more make each
 /// change dearer; at 33,000 groups 8 give 4,096 leaves of about 2 KB.
@@ -86,7 +86,7 @@
 /// Prepares a configuration for the store; `nonce` must never have been used before.
 pub fn encode(fleet: &Fleet, nonce: &str) -> Result<Encoded, DocumentError> {
     let whole = encode_head(fleet.clone(), nonce, Vec::new())?;
-    if whole.len() <= WHOLE_LIMIT {
+    if whole.len() <= SINGLE_VALUE_LIMIT {
         let parts = Vec::new();
         return Ok(Encoded { parts, head: whole });
     }
@@ -148,7 +148,7 @@
 }
 
 /// Keys of all parts that a head refers to, as far as the parts at hand tell.
-pub fn references<'a>(
+pub fn referenced_keys<'a>(
     head: &[u8],
     part: impl Fn(&str) -> Option<&'a [u8]>,
 ) -> Result<Vec<String>, DocumentError> {
--- a/crates/model/src/entry.rs
+++ b/crates/model/src/entry.rs
@@ -23,5 +23,5 @@
     pub claims_primary: bool,
     /// Start of the process, in Unix milliseconds by its own clock; a restarted instance
     /// keeps its id and has another one, and knows nothing of before.
-    pub born: u64,
+    pub started_at: u64,
 }
--- a/crates/model/src/location.rs
+++ b/crates/model/src/location.rs
@@ -21,14 +21,14 @@
     /// Both are in one region.
     SameRegion,
     /// They are in different regions, joined by a slow link with a price per byte.
-    FarRegion,
+    OtherRegion,
 }
 
 impl Location {
     /// How far away `other` is.
     pub fn distance(&self, other: &Self) -> Distance {
         if self.region != other.region {
-            Distance::FarRegion
+            Distance::OtherRegion
         } else if self.data_centre != other.data_centre {
             Distance::SameRegion
         } else {
--- a/crates/model/src/source.rs
+++ b/crates/model/src/source.rs
@@ -19,26 +19,26 @@
 
 /// What is wrong at a place of a file.
 #[derive(Debug, thiserror::Error)]
-pub enum Fault {
+pub enum SourceError {
     /// The text is not JSON with comments.
     #[error("{}", .0.kind())]
     Syntax(ParseError),
     /// A key is unknown or missing, or a value has the wrong form.
     #[error("{0}")]
-    Shape(serde_json::Error),
+    Schema(serde_json::Error),
     /// The values contradict each other or the rules of the fleet.
     #[error("{0}")]
     Rule(Problem),
 }
 
-impl Fault {
+impl SourceError {
     /// What an operator can do about it.
     pub fn hint(&self) -> &'static str {
         match self {
             Self::Syntax(_) => "correct the JSON at this place",
-            Self::Shape(e) if is_unknown_key(e) => "correct the name of the key, or remove it",
-            Self::Shape(e) if e.to_string().starts_with("missing field") => "add the missing key",
-            Self::Shape(_) => "write the value in the expected form",
+            Self::Schema(e) if is_unknown_key(e) => "correct the name of the key, or remove it",
+            Self::Schema(e) if e.to_string().starts_with("missing field") => "add the missing key",
+            Self::Schema(_) => "write the value in the expected form",
             Self::Rule(problem) => problem.hint(),
         }
     }
@@ -50,9 +50,9 @@
 
 /// A fault with its place; `miette` prints file, line, column and the mend.
 #[derive(Debug)]
-pub struct Located {
+pub struct LocatedError {
     /// What is wrong.
-    pub fault: Fault,
+    pub error: SourceError,
     /// Line, counted from 1.
     pub line: usize,
     /// Column, counted from 1.
@@ -61,17 +61,17 @@
     span: SourceSpan,
 }
 
-impl fmt::Display for Located {
+impl fmt::Display for LocatedError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}", self.fault)
+        write!(f, "{}", self.error)
     }
 }
 
-impl std::error::Error for Located {}
+impl std::error::Error for LocatedError {}
 
-impl Diagnostic for Located {
+impl Diagnostic for LocatedError {
     fn help<'a>(&'a self) -> Option<Box<dyn fmt::Display + 'a>> {
-        Some(Box::new(self.fault.hint()))
+        Some(Box::new(self.error.hint()))
     }
 
     fn labels(&self) -> Option<Box<dyn Iterator<Item = LabeledSpan> + '_>> {
@@ -99,30 +99,30 @@
     }
 
     /// Reads the text as a typed document.
-    pub fn parse<T: serde::de::DeserializeOwned>(&self) -> Result<T, Box<Located>> {
+    pub fn parse<T: serde::de::DeserializeOwned>(&self) -> Result<T, Box<LocatedError>> {
         let options = jsonc_parser::ParseOptions::default();
         let value: serde_json::Value = jsonc_parser::parse_to_serde_value(&self.text, &options)
-            .map_err(|e| self.at((e.range().start, e.range().end), Fault::Syntax(e)))?;
+            .map_err(|e| self.at((e.range().start, e.range().end), SourceError::Syntax(e)))?;
         serde_path_to_error::deserialize(value).map_err(|e| {
             let path: Vec<_> = e.path().iter().filter_map(segment).collect();
             let cause = e.into_inner();
             let name_only = is_unknown_key(&cause);
             let span = self.find(&path, name_only);
-            Box::new(self.at(span, Fault::Shape(cause)))
+            Box::new(self.at(span, SourceError::Schema(cause)))
         })
     }
 
     /// Puts a finding at its place in the text.
-    pub fn locate(&self, finding: Finding) -> Located {
+    pub fn locate(&self, finding: Finding) -> LocatedError {
         let span = self.find(&finding.path, false);
-        self.at(span, Fault::Rule(finding.problem))
+        self.at(span, SourceError::Rule(finding.problem))
     }
 
-    fn at(&self, (start, end): (usize, usize), fault: Fault) -> Located {
+    fn at(&self, (start, end): (usize, usize), error: SourceError) -> LocatedError {
         let before = &self.text[..start.min(self.text.len())];
         let line_start = before.rfind('\n').map_or(0, |at| at + 1);
-        Located {
-            fault,
+        LocatedError {
+            error,
             line: before.matches('\n').count() + 1,
             column: before[line_start..].chars().count() + 1,
             source: NamedSource::new(&self.name, self.text.clone()),
--- a/crates/model/src/statement.rs
+++ b/crates/model/src/statement.rs
@@ -67,7 +67,7 @@
         args: Arc<str>,
     },
     /// Forgets a prepared statement.
-    Forget {
+    Deallocate {
         /// The session's name for it.
         name: Arc<str>,
     },
@@ -120,7 +120,7 @@
 
 impl Code {
     /// Whether the code promises that nothing of the statement or its transaction is kept.
-    pub const fn promises_nothing_kept(self) -> bool {
+    pub const fn guarantees_no_effect(self) -> bool {
         matches!(
             self,
             Self::Busy
--- a/crates/model/tests/document.rs
+++ b/crates/model/tests/document.rs
@@ -39,11 +39,11 @@
     let fleet = fleet(groups);
     let encoded = document::encode(&fleet, "n1").unwrap();
     assert!(encoded.parts.len() >= least && encoded.parts.is_empty() == (least == 0));
-    assert!(encoded.head.len() <= document::WHOLE_LIMIT);
+    assert!(encoded.head.len() <= document::SINGLE_VALUE_LIMIT);
     let parts = stored(&encoded);
     let part = |key: &str| parts.get(key).map(Vec::as_slice);
     assert_eq!(document::decode(&encoded.head, part).unwrap(), fleet);
-    let keys = document::references(&encoded.head, part).unwrap();
+    let keys = document::referenced_keys(&encoded.head, part).unwrap();
     assert_eq!(keys.len(), encoded.parts.len());
 }
 
--- a/crates/model/tests/source.rs
+++ b/crates/model/tests/source.rs
@@ -33,7 +33,7 @@
     let located = source.parse::<Fleet>().expect_err("a fault is expected");
     assert_eq!(located.line, line, "{located}");
     assert!(located.to_string().contains(message), "{located}");
-    assert!(!located.fault.hint().is_empty());
+    assert!(!located.error.hint().is_empty());
 }
 
 #[test]
--- a/crates/policy/src/config_mirror.rs
+++ b/crates/policy/src/config_mirror.rs
@@ -184,7 +184,7 @@
             return;
         };
         let part = |key: &str| self.records.get(key).map(|r| r.value.as_bytes());
-        let Ok(used) = document::references(record.value.as_bytes(), part) else {
+        let Ok(used) = document::referenced_keys(record.value.as_bytes(), part) else {
             return;
         };
         let used: indexmap::IndexSet<_> = used.into_iter().collect();
--- a/crates/policy/src/failure_detector.rs
+++ b/crates/policy/src/failure_detector.rs
@@ -20,7 +20,7 @@
 pub const DOUBT_AFTER: Span = Span::from_millis(100);
 
 /// Age up to which a replica's view and a peer's view count. Both are renewed every
-/// [`crate::poll::DOUBT`] during doubt, so that this allows for three lost rounds.
+/// [`crate::poll::SUSPECT_INTERVAL`] during doubt, so that this allows for three lost rounds.
 pub const VIEW_AGE: Span = Span::from_millis(250);
 
 /// Refused connections in a row that show that the process is gone: one may have met a
--- a/crates/policy/src/freshness.rs
+++ b/crates/policy/src/freshness.rs
@@ -22,7 +22,7 @@
 /// point's term: until `since` no later primary had a fenced majority, so none had
 /// acknowledged a write; and the primary of the term had its end at `point` after `since`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Barrier {
+pub struct Proof {
     /// Moment up to which acknowledged writes are covered.
     pub since: Time,
     /// End of the primary's log.
@@ -32,7 +32,7 @@
 /// Proofs of freshness of one group, oldest first.
 #[derive(Clone, Debug, Default)]
 pub struct Freshness {
-    barriers: VecDeque<Barrier>,
+    barriers: VecDeque<Proof>,
 }
 
 impl Freshness {
@@ -61,7 +61,7 @@
     }
 
     /// The newest proof.
-    pub fn newest(&self) -> Option<Barrier> {
+    pub fn newest(&self) -> Option<Proof> {
         self.barriers.back().copied()
     }
 
@@ -73,7 +73,7 @@
 
     /// How old the data is that readers of an instance with this status see at most.
     pub fn age(&self, now: Time, status: &Status) -> Option<Span> {
-        let covered = |b: &&Barrier| status.shows(b.point) == Coverage::Held;
+        let covered = |b: &&Proof| status.shows(b.point) == Coverage::Held;
         let newest = self.barriers.iter().rev().find(covered)?;
         Some(now.since(newest.since))
     }
@@ -84,7 +84,7 @@
     primary: &InstanceId,
     seen: &IndexMap<InstanceId, Observed>,
     majority: usize,
-) -> Option<Barrier> {
+) -> Option<Proof> {
     let lead = seen.get(primary)?;
     if !lead.status.leads() || lead.status.term() != term {
         return None;
@@ -93,7 +93,7 @@
     let mut asked: Vec<_> = seen.values().filter(unfenced).map(|o| o.asked).collect();
     asked.sort_unstable_by(|a, b| b.cmp(a));
     let agreed = *asked.get(majority.checked_sub(1)?)?;
-    Some(Barrier {
+    Some(Proof {
         since: agreed.min(lead.asked),
         point: lead.status.end(),
     })
--- a/crates/policy/src/group.rs
+++ b/crates/policy/src/group.rs
@@ -24,7 +24,7 @@
     Action, Ask, Channel, Event, Peer, PeerReport, Query, Recipients, StoreRequest, Ticket,
     Versioned,
 };
-use crate::poll::{Kind, Open, Poll};
+use crate::poll::{Kind, Outstanding, Poll};
 use crate::promote::Attempt;
 use crate::read::Load;
 use crate::spec::{Me, Spec};
@@ -309,14 +309,14 @@
         let kind = match &ask {
             Ask::Status => Kind::Status,
             Ask::Wait { position, .. } => Kind::Wait(*position),
-            Ask::Fence(_) | Ask::Promote(_) | Ask::Follow { .. } => Kind::Order,
+            Ask::Fence(_) | Ask::Promote(_) | Ask::Follow { .. } => Kind::Command,
         };
         match channel {
             Channel::Fresh => reach.ask_fresh(self.now),
             Channel::Steady if kind == Kind::Status => reach.ask(self.now),
             Channel::Steady => {}
         }
-        let open = Open {
+        let open = Outstanding {
             query,
             asked: self.now,
             kind,
--- a/crates/policy/src/group/answer.rs
+++ b/crates/policy/src/group/answer.rs
@@ -32,7 +32,7 @@
             // The silence goes on.
             Err(Failure::Refused) => reach.refuse(open.asked),
             Err(Failure::Broken) => reach.ask_fresh(open.asked),
-            Err(Failure::Silent | Failure::ReadOnly | Failure::Protocol) => {}
+            Err(Failure::Timeout | Failure::ReadOnly | Failure::Protocol) => {}
         }
     }
 
--- a/crates/policy/src/group/drive.rs
+++ b/crates/policy/src/group/drive.rs
@@ -96,7 +96,9 @@
             self.verdict,
             Verdict::Healthy | Verdict::Replace(Cause::Leaving)
         );
-        let told = self.told.is_some_and(|at| self.now.since(at) < poll::DOUBT);
+        let told = self
+            .told
+            .is_some_and(|at| self.now.since(at) < poll::SUSPECT_INTERVAL);
         if doubt && !told {
             self.told = Some(self.now);
             self.tell(Recipients::All, true);
@@ -252,15 +254,15 @@
         let busy = self.used.is_some_and(|at| self.now.since(at) < BUSY_FOR);
         let news = self.wants_news();
         let every = match (news.is_some(), busy, doubt) {
-            (true, ..) => poll::NEWS,
-            (_, true, _) => poll::BUSY,
-            (_, _, true) => poll::DOUBT,
-            _ => poll::IDLE,
+            (true, ..) => poll::WAITING_INTERVAL,
+            (_, true, _) => poll::BUSY_INTERVAL,
+            (_, _, true) => poll::SUSPECT_INTERVAL,
+            _ => poll::IDLE_INTERVAL,
         };
         let members: Vec<_> = self.spec.members.keys().cloned().collect();
         for member in members {
             let poll = self.polls.entry(member.clone()).or_default();
-            let stale = news.is_some_and(|since| poll.stale(self.now, since));
+            let stale = news.is_some_and(|since| poll.needs_query(self.now, since));
             let due = match poll.due(self.now, every) {
                 Due::Nothing if stale => Due::Steady,
                 due => due,
@@ -280,7 +282,7 @@
         self.emit_confirmed(outcomes);
         let members: Vec<_> = self.spec.members.keys().cloned().collect();
         for member in members {
-            let after = self.polls.get(&member).map(|p| p.waited());
+            let after = self.polls.get(&member).map(|p| p.awaited_position());
             let wanted = self.confirm.wanted(&member, after.unwrap_or_default());
             if let Some(position) = wanted {
                 self.wait_for(&member, position);
--- a/crates/policy/src/group/waiting.rs
+++ b/crates/policy/src/group/waiting.rs
@@ -12,8 +12,8 @@
 use super::Group;
 use crate::failure_detector::{DOUBT_AFTER, Verdict};
 use crate::message::{Action, Ticket};
-use crate::read::{Choice, Pick};
-use crate::route::{Failure, ReadNeed, Refusal, Target};
+use crate::read::{Selection, Selector};
+use crate::route::{Failure, ReadNeed, RouteError, Target};
 use crate::status::Role;
 
 /// Longest time that a request waits for a primary or a fresh instance. The slowest
@@ -68,7 +68,7 @@
     pub(super) fn enqueue(&mut self, waiting: Waiting) {
         self.used = Some(self.now);
         if self.waiting.len() >= self.spec.settings.queue as usize {
-            let result = Err(Refusal::Crowded { retry: RETRY });
+            let result = Err(RouteError::QueueFull { retry: RETRY });
             let ticket = waiting.ticket;
             self.out.push(Action::Routed { ticket, result });
             return;
@@ -92,7 +92,7 @@
         }
     }
 
-    fn serve(&self, waiting: &Waiting) -> Option<Result<Target, Refusal>> {
+    fn serve(&self, waiting: &Waiting) -> Option<Result<Target, RouteError>> {
         let served = match waiting.want {
             Want::Write(point) => self.serve_write(point),
             Want::Read(need) => self.serve_read(need, waiting.arrived),
@@ -100,17 +100,17 @@
         let waited = self.now.since(waiting.arrived);
         let over = self.now >= waiting.deadline || waited >= LONGEST;
         match (served, waiting.want) {
-            (None, Want::Write(_)) if over => Some(Err(Refusal::NoPrimary { retry: RETRY })),
-            (None, Want::Read(_)) if over => Some(Err(Refusal::NoneFresh { retry: RETRY })),
+            (None, Want::Write(_)) if over => Some(Err(RouteError::NoPrimary { retry: RETRY })),
+            (None, Want::Read(_)) if over => Some(Err(RouteError::NotFresh { retry: RETRY })),
             (served, _) => served,
         }
     }
 
     /// A proxy that knows only an older term than the session's waits for news: under the
     /// older term the session would not see its own writes.
-    fn serve_write(&self, point: Option<Point>) -> Option<Result<Target, Refusal>> {
+    fn serve_write(&self, point: Option<Point>) -> Option<Result<Target, RouteError>> {
         if self.hopeless() {
-            return Some(Err(Refusal::NoMajority { retry: RETRY }));
+            return Some(Err(RouteError::NoMajority { retry: RETRY }));
         }
         if point.is_some_and(|p| p.term > self.lead.term) {
             return None;
@@ -148,14 +148,14 @@
         self.spec.members.len() - lost < self.spec.majority()
     }
 
-    fn serve_read(&self, need: ReadNeed, arrived: Time) -> Option<Result<Target, Refusal>> {
+    fn serve_read(&self, need: ReadNeed, arrived: Time) -> Option<Result<Target, RouteError>> {
         // An instance that does not answer holds up a read for longer than any queue.
         let answers = |id: &InstanceId| {
             let reach = self.reach.get(id).copied().unwrap_or_default();
             reach.silent(self.now) < DOUBT_AFTER
         };
         let seen = self.seen.iter().filter(|(id, _)| answers(id)).collect();
-        let choice = Choice {
+        let choice = Selector {
             now: self.now,
             arrived,
             need,
@@ -171,12 +171,12 @@
             loads: &self.loads,
             fresh: &self.fresh,
         };
-        match choice.pick() {
-            Pick::Go(instance, point) => self.target(&instance, point).map(Ok),
-            Pick::Forked(point) => Some(Err(Refusal::Forked { point })),
+        match choice.select() {
+            Selection::Run(instance, point) => self.target(&instance, point).map(Ok),
+            Selection::Forked(point) => Some(Err(RouteError::Forked { point })),
             // In a data centre that is cut off no fresher state will arrive for now.
-            Pick::Wait if self.hopeless() => Some(Err(Refusal::NoneFresh { retry: RETRY })),
-            Pick::Wait => None,
+            Selection::Wait if self.hopeless() => Some(Err(RouteError::NotFresh { retry: RETRY })),
+            Selection::Wait => None,
         }
     }
 
@@ -213,7 +213,9 @@
         );
         if refused {
             // The next step asks every instance at once instead of after the interval.
-            self.polls.values_mut().for_each(crate::poll::Poll::hurry);
+            self.polls
+                .values_mut()
+                .for_each(crate::poll::Poll::make_due);
         }
     }
 }
--- a/crates/policy/src/message.rs
+++ b/crates/policy/src/message.rs
@@ -7,7 +7,7 @@
 
 use crate::decision::Decision;
 use crate::leadership::Record;
-use crate::route::{Failure, ReadNeed, Refusal, Target, Unconfirmed};
+use crate::route::{Failure, ReadNeed, RouteError, Target, Unconfirmed};
 use crate::spec::Spec;
 use crate::status::Status;
 
@@ -236,7 +236,7 @@
         /// The request.
         ticket: Ticket,
         /// Its route.
-        result: Result<Target, Refusal>,
+        result: Result<Target, RouteError>,
     },
     /// Answer a request for confirmation.
     Confirmed {
--- a/crates/policy/src/outcome.rs
+++ b/crates/policy/src/outcome.rs
@@ -31,7 +31,7 @@
     /// Say that its outcome is unknown.
     Unknown,
     /// End the answer that was begun with an error; it had no effect on data.
-    Cut,
+    Abort,
 }
 
 /// Where a request is on its way.
@@ -91,24 +91,24 @@
     }
 
     /// A part of the answer is about to go to the caller.
-    pub const fn begun(&mut self) {
+    pub const fn response_started(&mut self) {
         self.state = State::Begun;
     }
 
     /// Whether a part of the answer went to the caller.
-    pub const fn has_begun(&self) -> bool {
+    pub const fn has_response_started(&self) -> bool {
         matches!(self.state, State::Begun)
     }
 
     /// Whether another server may run it instead: it has no effect, and nothing of an
     /// answer has gone out.
-    pub const fn may_move(&self) -> bool {
-        matches!(self.kind, Kind::Read) && !self.has_begun()
+    pub const fn may_reroute(&self) -> bool {
+        matches!(self.kind, Kind::Read) && !self.has_response_started()
     }
 
     /// There was no route, no admission, or no connection, and there will be
     /// none before the deadline.
-    pub const fn gave_up(&self) -> Verdict {
+    pub const fn without_retry(&self) -> Verdict {
         match (self.unsure, self.kind) {
             (false, _) => Verdict::DidNotRun,
             (true, Kind::Read) => Verdict::Failed,
@@ -123,11 +123,11 @@
         let state = self.state;
         match state {
             State::Held if time_left => return Verdict::Retry,
-            State::Held => return self.gave_up(),
+            State::Held => return self.without_retry(),
             State::Sent | State::Begun => self.unsure = true,
         }
         match (self.kind, state) {
-            (Kind::Read, State::Begun) => Verdict::Cut,
+            (Kind::Read, State::Begun) => Verdict::Abort,
             (Kind::Read, _) if time_left && self.sent < MAX_SENT => self.again(),
             (Kind::Read, _) => Verdict::Failed,
             (Kind::Write | Kind::Once, _) => Verdict::Unknown,
@@ -140,7 +140,7 @@
         // statement of the same request; what came before it may have run.
         if matches!(self.state, State::Begun) {
             return match self.kind {
-                Kind::Read => Verdict::Cut,
+                Kind::Read => Verdict::Abort,
                 Kind::Write | Kind::Once => Verdict::Unknown,
             };
         }
@@ -148,7 +148,7 @@
         if repeatable && time_left && self.sent < MAX_SENT {
             return self.again();
         }
-        self.gave_up()
+        self.without_retry()
     }
 
     /// The server ran a write whose survival no majority confirmed.
--- a/crates/policy/src/pool/instance.rs
+++ b/crates/policy/src/pool/instance.rs
@@ -136,7 +136,8 @@
     /// Takes over an announcement that may have changed as early as `since`; connections to an
     /// earlier process are of no use.
     pub(super) fn update(&mut self, entry: &Entry, way: Span, since: Time, now: Time) -> Vec<C> {
-        let restarted = self.entry.born != entry.born || self.entry.address != entry.address;
+        let restarted =
+            self.entry.started_at != entry.started_at || self.entry.address != entry.address;
         if !entry.leaving {
             self.leaving_since = None;
         } else if self.leaving_since.is_none() {
--- a/crates/policy/src/read.rs
+++ b/crates/policy/src/read.rs
@@ -54,9 +54,9 @@
 
 /// Choice for one read.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Pick {
+pub enum Selection {
     /// Run it here; the answer covers the point.
-    Go(InstanceId, Point),
+    Run(InstanceId, Point),
     /// No instance is fresh enough yet.
     Wait,
     /// A promotion discarded the session's point.
@@ -64,7 +64,7 @@
 }
 
 /// What a choice rests on.
-pub struct Choice<'a> {
+pub struct Selector<'a> {
     /// The present.
     pub now: Time,
     /// When the read arrived.
@@ -87,11 +87,11 @@
     pub fresh: &'a Freshness,
 }
 
-impl Choice<'_> {
+impl Selector<'_> {
     /// Chooses.
-    pub fn pick(&self) -> Pick {
+    pub fn select(&self) -> Selection {
         if let Some(point) = self.forked() {
-            return Pick::Forked(point);
+            return Selection::Forked(point);
         }
         let mut best: Option<(u64, &InstanceId, Point)> = None;
         for (id, member) in &self.spec.members {
@@ -104,9 +104,9 @@
             }
         }
         match best {
-            Some((_, id, _)) if self.is_dear(id) && self.worth_waiting() => Pick::Wait,
-            Some((_, id, point)) => Pick::Go(id.clone(), point),
-            None => Pick::Wait,
+            Some((_, id, _)) if self.is_dear(id) && self.worth_waiting() => Selection::Wait,
+            Some((_, id, point)) => Selection::Run(id.clone(), point),
+            None => Selection::Wait,
         }
     }
 
@@ -168,7 +168,7 @@
         let (assumed, price) = match self.here.distance(&member.location) {
             Distance::SameDataCentre => (1_000, 0),
             Distance::SameRegion => (3_000, 0),
-            Distance::FarRegion => (42_000, FAR_COST),
+            Distance::OtherRegion => (42_000, FAR_COST),
         };
         let latency = load.latency.unwrap_or(assumed);
         let slots = u64::from(self.spec.settings.slots.max(1));
@@ -183,7 +183,7 @@
 
     /// Whether the instance serves reads at a price: the primary, or one in a far region.
     fn is_dear(&self, id: &InstanceId) -> bool {
-        let far = |m: &Member| self.here.distance(&m.location) == Distance::FarRegion;
+        let far = |m: &Member| self.here.distance(&m.location) == Distance::OtherRegion;
         self.primary == Some(id) || self.spec.members.get(id).is_some_and(far)
     }
 
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -46,7 +46,7 @@
     /// How far it came.
     pub progress: Progress,
     /// Attempts before this one.
-    pub before: u32,
+    pub previous_attempts: u32,
 }
 
 /// Retries that a proxy affords towards one group.
@@ -75,8 +75,8 @@
         let allowed = self.tokens > RESERVE;
         self.tokens = (self.tokens - FAILURE).max(0.0);
         let safe = attempt.idempotent || attempt.progress == Progress::NotSent;
-        let more = attempt.before < MOST_RETRIES;
-        (allowed && safe && more).then(|| delay(attempt.before, rng))
+        let more = attempt.previous_attempts < MOST_RETRIES;
+        (allowed && safe && more).then(|| delay(attempt.previous_attempts, rng))
     }
 }
 
@@ -85,8 +85,8 @@
 /// Load: all connections of a server break at once; harm: all retries meet at the
 /// next server in the same millisecond. The whole range is random, which spreads
 /// them best.
-pub fn delay(before: u32, rng: &mut impl Rng) -> Span {
-    let bound = FIRST_DELAY.times(1 << before.min(16));
+pub fn delay(previous_attempts: u32, rng: &mut impl Rng) -> Span {
+    let bound = FIRST_DELAY.times(1 << previous_attempts.min(16));
     let bound = bound.min(LONGEST_DELAY).as_micros();
     Span::from_micros(rng.random_range(0..=bound))
 }
--- a/crates/policy/src/route.rs
+++ b/crates/policy/src/route.rs
@@ -42,7 +42,7 @@
 
 /// Why a request was given no route. It did not run.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Refusal {
+pub enum RouteError {
     /// The group has no primary at present.
     #[error("the group has no primary at present")]
     NoPrimary {
@@ -57,13 +57,13 @@
     },
     /// Too many requests wait for the group already.
     #[error("too many requests wait for the group's next primary")]
-    Crowded {
+    QueueFull {
         /// When another try is worth while.
         retry: Span,
     },
     /// No instance in reach is as fresh as the read needs.
     #[error("no instance in reach is fresh enough for the read")]
-    NoneFresh {
+    NotFresh {
         /// When another try is worth while.
         retry: Span,
     },
@@ -78,14 +78,14 @@
     Stopping,
 }
 
-impl Refusal {
+impl RouteError {
     /// When the caller may try again with a chance of success.
-    pub fn retry(&self) -> Option<Span> {
+    pub fn retry_after(&self) -> Option<Span> {
         match self {
             Self::NoPrimary { retry }
             | Self::NoMajority { retry }
-            | Self::Crowded { retry }
-            | Self::NoneFresh { retry } => Some(*retry),
+            | Self::QueueFull { retry }
+            | Self::NotFresh { retry } => Some(*retry),
             Self::Forked { .. } | Self::Stopping => None,
         }
     }
@@ -119,7 +119,7 @@
     Broken,
     /// Nothing came back in time.
     #[error("no answer in time")]
-    Silent,
+    Timeout,
     /// It refused the write as not being the primary, or as fenced (25006).
     #[error("the server does not accept writes")]
     ReadOnly,
--- a/crates/policy/tests/failover/fake/caller.rs
+++ b/crates/policy/tests/failover/fake/caller.rs
@@ -3,7 +3,7 @@
 use model::position::Point;
 use model::unit::{Span, Time};
 use policy::message::{Event, Ticket};
-use policy::route::{ReadNeed, Refusal, Target, Unconfirmed};
+use policy::route::{ReadNeed, RouteError, Target, Unconfirmed};
 use policy::status::Role;
 
 use super::oracle::{Begun, Violation};
@@ -166,12 +166,12 @@
         Some(open.swap_remove(at))
     }
 
-    pub(crate) fn routed(&mut self, who: Who, ticket: Ticket, result: Result<Target, Refusal>) {
+    pub(crate) fn routed(&mut self, who: Who, ticket: Ticket, result: Result<Target, RouteError>) {
         let target = match result {
             Ok(target) => target,
             Err(refusal) => {
                 self.oracle.callers.told.refused += 1;
-                if let Refusal::Forked { point } = refusal {
+                if let RouteError::Forked { point } = refusal {
                     self.oracle.violations.push(Violation::Forked(point));
                 }
                 self.close(ticket);
--- a/crates/policy/tests/outcome.rs
+++ b/crates/policy/tests/outcome.rs
@@ -107,7 +107,7 @@
                 run.send();
                 run.truth.executions += u32::from(runs || begun);
                 if begun {
-                    run.outcome.begun();
+                    run.outcome.response_started();
                 }
                 run.outcome.lost(time_left)
             }
@@ -142,7 +142,7 @@
         Verdict::DidNotRun => assert_eq!(truth.executions, 0, "a false did-not-run"),
         Verdict::Retry if writes => assert_eq!(truth.executions, 0, "a second execution"),
         Verdict::Retry | Verdict::Unknown => {}
-        Verdict::Failed | Verdict::Cut => assert!(!writes, "a write must not be called failed"),
+        Verdict::Failed | Verdict::Abort => assert!(!writes, "a write must not be called failed"),
     }
     if truth.kind == Kind::Once {
         assert!(truth.maybe_left <= 1, "sent twice");
--- a/crates/policy/tests/pool.rs
+++ b/crates/policy/tests/pool.rs
@@ -32,7 +32,7 @@
         slots: 3,
         leaving: false,
         claims_primary: name == "p",
-        born: 1,
+        started_at: 1,
     }
 }
 
@@ -230,7 +230,7 @@
     pool.opened(&id("p"), Ok(1), at(1_101));
     pool.give_back(&id("p"), Some(1), None, at(1_102));
     let mut restarted = entry("p");
-    restarted.born = 2;
+    restarted.started_at = 2;
     let entries = [restarted, entry("a"), entry("b")];
     let actions = pool.set_entries(&entries, |_| Span::from_millis(1), at(1_103));
     assert!(matches!(actions[..], [Action::Close(1)]), "{actions:?}");
--- a/crates/policy/tests/pool_age.rs
+++ b/crates/policy/tests/pool_age.rs
@@ -27,7 +27,7 @@
         slots: 3,
         leaving,
         claims_primary: false,
-        born: 1,
+        started_at: 1,
     }
 }
 
@@ -112,7 +112,7 @@
     let mut pool = pool(&[3, 5]);
     pool.ask(ask(), 1, at(20));
     let restarted = Entry {
-        born: 2,
+        started_at: 2,
         ..entry(false)
     };
     pool.set_entries(&[restarted], |_| Span::from_millis(1), at(30));
--- a/crates/policy/tests/pool_restart.rs
+++ b/crates/policy/tests/pool_restart.rs
@@ -34,7 +34,7 @@
         slots: 3,
         leaving: false,
         claims_primary: true,
-        born: 1,
+        started_at: 1,
     };
     let mut pool = Pool::new();
     pool.set_shares(CONNECTIONS, PROXIES, true);
--- a/crates/policy/tests/primary_monitor.rs
+++ b/crates/policy/tests/primary_monitor.rs
@@ -22,7 +22,7 @@
         slots: 3,
         leaving: false,
         claims_primary: name == "p",
-        born: 1,
+        started_at: 1,
     };
     let mut watch = PrimaryMonitor::default();
     watch.set_entries(&[entry("p"), entry("a")]);
--- a/crates/policy/tests/retry.rs
+++ b/crates/policy/tests/retry.rs
@@ -14,7 +14,7 @@
     let attempt = Attempt {
         idempotent,
         progress,
-        before: 0,
+        previous_attempts: 0,
     };
     let mut rng = SmallRng::seed_from_u64(1);
     Budget::default().failed(attempt, &mut rng).is_some()
@@ -29,7 +29,7 @@
     let attempt = Attempt {
         idempotent: true,
         progress: Progress::Sent,
-        before: 0,
+        previous_attempts: 0,
     };
     let tries = (0..100).filter(|_| budget.failed(attempt, &mut rng).is_some());
     assert!(tries.count() <= 10);
--- a/crates/proxy/src/caller/answer.rs
+++ b/crates/proxy/src/caller/answer.rs
@@ -57,7 +57,7 @@
 impl Passing<'_> {
     /// Waits for more bytes of the answer.
     async fn fill(&mut self) -> Result<(), Stop> {
-        let may_move = self.outcome.may_move();
+        let may_move = self.outcome.may_reroute();
         self.watch.fill(self.conn, self.link, may_move).await
     }
 
@@ -195,7 +195,7 @@
         }
         self.answer.failed = Some(code.to_owned());
         self.forget_unprepared();
-        let untouched = self.answer.completed == 0 && !self.outcome.has_begun();
+        let untouched = self.answer.completed == 0 && !self.outcome.has_response_started();
         if code == report::READ_ONLY.0 && untouched {
             self.answer.refused = true;
             self.link.discard();
@@ -238,12 +238,12 @@
             }
             return Ok(());
         }
-        self.outcome.begun();
+        self.outcome.response_started();
         self.link.pass(raw).await.map_err(|_| Stop::Caller)
     }
 
     async fn flush(&mut self) -> Result<(), Stop> {
-        self.outcome.begun();
+        self.outcome.response_started();
         self.link.flush().await.map_err(|_| Stop::Caller)
     }
 }
--- a/crates/proxy/src/caller/attempt.rs
+++ b/crates/proxy/src/caller/attempt.rs
@@ -6,7 +6,7 @@
 use model::unit::Span;
 use pg::report::{self, Report};
 use policy::retry;
-use policy::route::{Refusal, Target};
+use policy::route::{RouteError, Target};
 
 use super::answer::Answer;
 use super::watch::{Reign, Stop};
@@ -40,7 +40,7 @@
 
 /// Why an attempt sent nothing.
 pub(super) enum NoWay {
-    Refused(Refusal),
+    Refused(RouteError),
     NotAdmitted(EnterError),
     NoConnection(PoolError),
     /// The primary was replaced before anything was sent to it.
@@ -80,12 +80,12 @@
             Self::error(code, format!("{why}; the request did not run")).retry_after(after)
         };
         match no_way {
-            NoWay::Refused(e @ Refusal::Forked { .. }) => Self::error(
+            NoWay::Refused(e @ RouteError::Forked { .. }) => Self::error(
                 report::TOKEN_FORKED,
                 format!("{e}; the request did not run"),
             ),
             NoWay::Refused(e) => {
-                let after = e.retry().map_or(RETRY, Span::as_duration);
+                let after = e.retry_after().map_or(RETRY, Span::as_duration);
                 did_not_run(report::UNAVAILABLE, &e, after)
             }
             NoWay::NotAdmitted(EnterError::Refused(e)) => {
--- a/crates/proxy/src/caller/execute.rs
+++ b/crates/proxy/src/caller/execute.rs
@@ -6,7 +6,7 @@
 use pg::report::{self, Report};
 use policy::outcome::{Kind, Outcome, Verdict};
 use policy::retry;
-use policy::route::{Failure, ReadNeed, Refusal, Target};
+use policy::route::{Failure, ReadNeed, RouteError, Target};
 
 use super::attempt::{Attempt, Ended, NoWay, back_off, has_time, refused_text};
 use super::link::Closed;
@@ -128,7 +128,7 @@
                     );
                     let verdict = match again {
                         true => outcome.lost(has_time(deadline)),
-                        false => outcome.gave_up(),
+                        false => outcome.without_retry(),
                     };
                     if verdict == Verdict::Retry {
                         compio::time::sleep(back_off(before)).await;
@@ -180,12 +180,12 @@
         let attempt = retry::Attempt {
             idempotent: outcome.kind() == Kind::Read,
             progress: retry::Progress::Sent,
-            before,
+            previous_attempts: before,
         };
         let mut budget = self.group.retries.borrow_mut();
         let allowed = budget.failed(attempt, &mut rand::rng()).is_some();
         match (verdict, allowed) {
-            (Verdict::Retry, false) => outcome.gave_up(),
+            (Verdict::Retry, false) => outcome.without_retry(),
             (verdict, _) => verdict,
         }
     }
@@ -236,7 +236,7 @@
         }
     }
 
-    async fn route(&self, req: &Request, deadline: Instant) -> Result<Target, Refusal> {
+    async fn route(&self, req: &Request, deadline: Instant) -> Result<Target, RouteError> {
         let routes = &self.group.routes;
         let point = self.session.point();
         if req.profile.needs_primary() {
--- a/crates/proxy/src/caller/settle.rs
+++ b/crates/proxy/src/caller/settle.rs
@@ -123,7 +123,7 @@
         stop: Stop,
         deadline: Instant,
     ) -> Result<Verdict, Closed> {
-        let inside_row = attempt.conn.inside_row() && outcome.has_begun();
+        let inside_row = attempt.conn.inside_row() && outcome.has_response_started();
         match stop {
             Stop::Caller => {
                 self.group.routes.released(&attempt.target.instance);
@@ -135,7 +135,7 @@
             }
             Stop::Replaced => {
                 let routes = &self.group.routes;
-                routes.failed(&attempt.target.instance, Failure::Silent);
+                routes.failed(&attempt.target.instance, Failure::Timeout);
                 attempt.pool.purge();
             }
             Stop::Deadline | Stop::TooLarge => {
@@ -159,7 +159,7 @@
         verdict: Verdict,
         why: &Report,
     ) -> Result<(), Closed> {
-        if verdict != Verdict::Cut {
+        if verdict != Verdict::Abort {
             self.link.discard();
         }
         let report = match verdict {
@@ -168,7 +168,7 @@
                 let text = "outcome unknown: the connection to the server was lost";
                 Report::error(report::OUTCOME_UNKNOWN, text)
             }
-            Verdict::Failed | Verdict::Cut | Verdict::Retry => {
+            Verdict::Failed | Verdict::Abort | Verdict::Retry => {
                 let text = "the read was lost with its server's connection";
                 Report::error(report::CONNECTION_LOST, text).retry_after(RETRY)
             }
--- a/crates/proxy/src/caller/watch.rs
+++ b/crates/proxy/src/caller/watch.rs
@@ -151,7 +151,7 @@
                 Event::Tick => ticked = true,
             }
             if condemned {
-                return Err(Stop::Server(Failure::Silent));
+                return Err(Stop::Server(Failure::Timeout));
             }
             if Instant::now() >= self.deadline {
                 compio::runtime::spawn(backend::cancel(path.clone(), key)).detach();
@@ -166,7 +166,7 @@
                     Probe::Answers => condemned = true,
                     // The server is gone or cut off. A write has to wait for what
                     // becomes of its primary; a read is better off elsewhere.
-                    Probe::Silent if may_move => return Err(Stop::Server(Failure::Silent)),
+                    Probe::Silent if may_move => return Err(Stop::Server(Failure::Timeout)),
                     Probe::Silent | Probe::Refuses => {}
                 }
                 quiet_since = Instant::now();
--- a/crates/proxy/src/group.rs
+++ b/crates/proxy/src/group.rs
@@ -20,7 +20,7 @@
 use policy::decision::Decision;
 use policy::group::Lead;
 use policy::message::{Peer, PeerReport, Recipients, Versioned};
-use policy::route::{Failure, ReadNeed, Refusal, Target, Unconfirmed};
+use policy::route::{Failure, ReadNeed, RouteError, Target, Unconfirmed};
 use policy::status::Observed;
 
 use crate::admit;
@@ -31,12 +31,12 @@
     Write {
         point: Option<Point>,
         deadline: Instant,
-        tx: flume::Sender<Result<Target, Refusal>>,
+        tx: flume::Sender<Result<Target, RouteError>>,
     },
     Read {
         need: ReadNeed,
         deadline: Instant,
-        tx: flume::Sender<Result<Target, Refusal>>,
+        tx: flume::Sender<Result<Target, RouteError>>,
     },
     Confirm {
         point: Point,
@@ -127,21 +127,29 @@
         &self,
         point: Option<Point>,
         deadline: Instant,
-    ) -> Result<Target, Refusal> {
+    ) -> Result<Target, RouteError> {
         let (tx, rx) = flume::bounded(1);
         let req = Request::Write {
             point,
             deadline,
             tx,
         };
-        self.ask(req, &rx).await.unwrap_or(Err(Refusal::Stopping))
+        self.ask(req, &rx)
+            .await
+            .unwrap_or(Err(RouteError::Stopping))
     }
 
     /// An instance that is fresh enough for the read.
-    pub async fn route_read(&self, need: ReadNeed, deadline: Instant) -> Result<Target, Refusal> {
+    pub async fn route_read(
+        &self,
+        need: ReadNeed,
+        deadline: Instant,
+    ) -> Result<Target, RouteError> {
         let (tx, rx) = flume::bounded(1);
         let req = Request::Read { need, deadline, tx };
-        self.ask(req, &rx).await.unwrap_or(Err(Refusal::Stopping))
+        self.ask(req, &rx)
+            .await
+            .unwrap_or(Err(RouteError::Stopping))
     }
 
     /// Waits until a majority holds the write that ran on `target` up to `point`.
--- a/crates/proxy/src/group/client.rs
+++ b/crates/proxy/src/group/client.rs
@@ -57,7 +57,7 @@
             .await
             .map_err(|e| match e.kind() {
                 std::io::ErrorKind::ConnectionRefused => Failure::Refused,
-                _ => Failure::Silent,
+                _ => Failure::Timeout,
             })?;
         let tx = Writer(stream.clone());
         let buf = BytesMut::new();
--- a/crates/proxy/src/group/link.rs
+++ b/crates/proxy/src/group/link.rs
@@ -142,7 +142,7 @@
                     Ok(status)
                 }
                 Ok(Err(e)) => Err(e),
-                Err(_) => Err(Failure::Silent),
+                Err(_) => Err(Failure::Timeout),
             };
             let _ = tx.send(Answer::new(question.query, result));
         })
--- a/crates/proxy/src/group/task.rs
+++ b/crates/proxy/src/group/task.rs
@@ -10,7 +10,7 @@
 use policy::group::{self, Group};
 use policy::leadership;
 use policy::message::{Action, Ask, Event, Query, StoreReply, StoreRequest, Ticket};
-use policy::route::{Refusal, Target, Unconfirmed};
+use policy::route::{RouteError, Target, Unconfirmed};
 use policy::spec::{Me, Spec};
 
 use crate::trace::{Side, Tracer};
@@ -34,7 +34,7 @@
 }
 
 enum Caller {
-    Route(flume::Sender<Result<Target, Refusal>>),
+    Route(flume::Sender<Result<Target, RouteError>>),
     Confirm(flume::Sender<Result<(), Unconfirmed>>),
 }
 
@@ -296,7 +296,7 @@
         }
     }
 
-    fn routed(&mut self, ticket: Ticket, result: Result<Target, Refusal>) {
+    fn routed(&mut self, ticket: Ticket, result: Result<Target, RouteError>) {
         let Some(Caller::Route(tx)) = self.callers.swap_remove(&ticket) else {
             return;
         };
--- a/crates/proxy/src/run.rs
+++ b/crates/proxy/src/run.rs
@@ -32,7 +32,7 @@
     /// The fleet's configuration cannot be read.
     #[error(transparent)]
     #[diagnostic(transparent)]
-    Fleet(#[from] Box<model::source::Located>),
+    Fleet(#[from] Box<model::source::LocatedError>),
     /// There is no way to learn the fleet's configuration.
     #[error("neither a store nor seeds nor a fleet_file is set")]
     NoFleet,
--- a/crates/proxy/tests/group/main.rs
+++ b/crates/proxy/tests/group/main.rs
@@ -8,7 +8,7 @@
 use model::position::Term;
 use model::unit::Span;
 use policy::decision::{Phase, What};
-use policy::route::{ReadNeed, Refusal};
+use policy::route::{ReadNeed, RouteError};
 use policy::status::Role;
 use standin::Spec;
 
@@ -137,7 +137,7 @@
         compio::time::sleep(Duration::from_millis(1_500)).await;
         let refusal = bed.handles[0].route_write(None, bed::deadline()).await;
         let refusal = refusal.unwrap_err();
-        assert!(matches!(refusal, Refusal::NoMajority { .. }));
-        assert!(refusal.retry().is_some());
+        assert!(matches!(refusal, RouteError::NoMajority { .. }));
+        assert!(refusal.retry_after().is_some());
     });
 }
--- a/crates/store/src/config.rs
+++ b/crates/store/src/config.rs
@@ -51,13 +51,13 @@
     /// Completes a head by the parts that it names.
     pub async fn load_parts(&self, head: Record) -> Result<Stored, ConfigError> {
         let mut parts = HashMap::new();
-        if !document::references(&head.value, |_| None)?.is_empty() {
+        if !document::referenced_keys(&head.value, |_| None)?.is_empty() {
             let listing = self.list(document::PARTS).await?;
             parts.extend(listing.records.into_iter().map(|r| (r.key, r.value)));
         }
         let part = |key: &str| parts.get(key).map(Vec::as_slice);
         let fleet = document::decode(&head.value, part)?;
-        let parts = document::references(&head.value, part)?;
+        let parts = document::referenced_keys(&head.value, part)?;
         Ok(Stored {
             revision: head.revision,
             fleet,
