--- a/crates/policy/src/freshness.rs
+++ b/crates/policy/src/freshness.rs
@@ -1,4 +1,4 @@
-//! Proofs of freshness: which point covers everything acknowledged before a moment.
+//! Freshness proofs: which point covers every write acknowledged before a given time.
 
 use std::collections::VecDeque;
 
@@ -9,34 +9,34 @@
 
 use crate::status::{Observed, Status};
 
-/// Most proofs kept. With one every 20 ms they reach back over 5 s; older ones are
-/// thinned to one every [`SPACING`], so that ages of a minute can still be proven.
-const KEPT: usize = 512;
+/// Maximum number of proofs kept. With one every 20 ms they reach back over 5 s; older ones
+/// are thinned to one every [`MIN_SPACING`], so that ages of a minute can still be proven.
+const MAX_PROOFS: usize = 512;
 
-/// Least time between two proofs that are kept.
-const SPACING: Span = Span::from_millis(10);
+/// Minimum time between two proofs that are kept.
+const MIN_SPACING: Span = Span::from_millis(10);
 
-/// Every write acknowledged before `since` lies at or before `point`.
+/// Proof that every write acknowledged before `since` lies at or before `point`.
 ///
-/// It holds because a majority was seen after `since` without a promise later than the
-/// point's term: until `since` no later primary had a fenced majority, so none had
-/// acknowledged a write; and the primary of the term had its end at `point` after `since`.
+/// It holds because a majority reported after `since` that it had promised no term later
+/// than that of `point`. So until `since` no later primary had a fenced majority, and none
+/// had acknowledged a write. The log of the term's primary ended at `point` after `since`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Proof {
-    /// Moment up to which acknowledged writes are covered.
+    /// Time up to which acknowledged writes are covered.
     pub since: Time,
     /// End of the primary's log.
     pub point: Point,
 }
 
-/// Proofs of freshness of one group, oldest first.
+/// Freshness proofs of one group, oldest first.
 #[derive(Clone, Debug, Default)]
 pub struct Freshness {
-    barriers: VecDeque<Proof>,
+    proofs: VecDeque<Proof>,
 }
 
 impl Freshness {
-    /// Draws a new proof from the newest observations, if they allow one.
+    /// Derives a new proof from the newest observations, if they allow one.
     pub fn observe(
         &mut self,
         term: Term,
@@ -44,57 +44,57 @@
         seen: &IndexMap<InstanceId, Observed>,
         majority: usize,
     ) {
-        let Some(barrier) = draw(term, primary, seen, majority) else {
+        let Some(proof) = derive(term, primary, seen, majority) else {
             return;
         };
-        if self.newest().is_some_and(|b| barrier.since <= b.since) {
+        if self.newest().is_some_and(|p| proof.since <= p.since) {
             return;
         }
-        let len = self.barriers.len();
-        let crowded = len >= 2 && barrier.since.since(self.barriers[len - 2].since) < SPACING;
+        let len = self.proofs.len();
+        let crowded = len >= 2 && proof.since.since(self.proofs[len - 2].since) < MIN_SPACING;
         if crowded {
-            self.barriers.pop_back();
-        } else if len == KEPT {
-            self.barriers.pop_front();
+            self.proofs.pop_back();
+        } else if len == MAX_PROOFS {
+            self.proofs.pop_front();
         }
-        self.barriers.push_back(barrier);
+        self.proofs.push_back(proof);
     }
 
     /// The newest proof.
     pub fn newest(&self) -> Option<Proof> {
-        self.barriers.back().copied()
+        self.proofs.back().copied()
     }
 
-    /// When the primary is known to have held `point`, at the latest.
+    /// Time of the oldest proof that covers `point`: an estimate of when the primary held it.
     pub fn reached(&self, point: Point) -> Option<Time> {
-        let first = self.barriers.partition_point(|b| b.point < point);
-        self.barriers.get(first).map(|b| b.since)
+        let first = self.proofs.partition_point(|p| p.point < point);
+        self.proofs.get(first).map(|p| p.since)
     }
 
-    /// How old the data is that readers of an instance with this status see at most.
+    /// Maximum age of the data that reads on an instance with this status see.
     pub fn age(&self, now: Time, status: &Status) -> Option<Span> {
-        let covered = |b: &&Proof| status.shows(b.point) == Coverage::Held;
-        let newest = self.barriers.iter().rev().find(covered)?;
+        let covered = |p: &&Proof| status.shows(p.point) == Coverage::Held;
+        let newest = self.proofs.iter().rev().find(covered)?;
         Some(now.since(newest.since))
     }
 }
 
-fn draw(
+fn derive(
     term: Term,
     primary: &InstanceId,
     seen: &IndexMap<InstanceId, Observed>,
     majority: usize,
 ) -> Option<Proof> {
-    let lead = seen.get(primary)?;
-    if !lead.status.leads() || lead.status.term() != term {
+    let leader = seen.get(primary)?;
+    if !leader.status.leads() || leader.status.term() != term {
         return None;
     }
     let unfenced = |o: &&Observed| o.status.fenced <= term;
     let mut asked: Vec<_> = seen.values().filter(unfenced).map(|o| o.asked).collect();
     asked.sort_unstable_by(|a, b| b.cmp(a));
-    let agreed = *asked.get(majority.checked_sub(1)?)?;
+    let quorum_asked = *asked.get(majority.checked_sub(1)?)?;
     Some(Proof {
-        since: agreed.min(lead.asked),
-        point: lead.status.end(),
+        since: quorum_asked.min(leader.asked),
+        point: leader.status.end(),
     })
 }
--- a/crates/policy/src/group/waiting.rs
+++ b/crates/policy/src/group/waiting.rs
@@ -159,7 +159,7 @@
             now: self.now,
             arrived,
             need,
-            here: &self.me.location,
+            location: &self.me.location,
             spec: &self.spec,
             term: self.lead.term,
             primary: self
@@ -169,7 +169,7 @@
                 .filter(|_| self.deposed.is_none()),
             seen,
             loads: &self.loads,
-            fresh: &self.fresh,
+            freshness: &self.fresh,
         };
         match choice.select() {
             Selection::Run(instance, point) => self.target(&instance, point).map(Ok),
--- a/crates/policy/src/outcome.rs
+++ b/crates/policy/src/outcome.rs
@@ -1,144 +1,146 @@
-//! What may be said to a caller about a request whose way was disturbed.
+//! What to do, and what to report to the caller, after a request was interrupted.
 //!
-//! *Did not run* is said only when no byte of the request can have been acted
-//! on; a request that must not repeat is never sent twice.
+//! *Did not run* is reported only when no byte of the request can have taken effect; a
+//! request that must not be repeated is never sent twice.
 
-/// What a second execution would do.
+/// Effect of a second execution.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
-    /// It has no effect: it may run any number of times.
+    /// None: the request may run any number of times.
     Read,
-    /// It writes: it may be sent again only while it certainly did not run.
+    /// A second write: the request may be sent again only if it certainly did not run.
     Write,
-    /// It writes and is marked as not repeatable: it is sent at most once.
+    /// A second write, and the request is marked as not repeatable: it is sent at most once.
     Once,
 }
 
-/// Most times that one request is sent. Load: a failover, during which every
-/// request in flight fails at once; harm: the new primary gets each of them
-/// many times over. Three cover a lost connection followed by a lost server.
+/// Maximum number of times that one request is sent. In a failover every request in flight
+/// fails at once, and without a limit the new primary would receive each of them many times.
+/// Three attempts cover a lost connection followed by a lost server.
 pub const MAX_SENT: u32 = 3;
 
-/// What to do after a disturbance.
+/// What to do after an interruption.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Choose a route again.
+    /// Route the request again.
     Retry,
-    /// Say that it did not run.
+    /// Report that it did not run.
     DidNotRun,
-    /// Say that it failed without effect on data; parts of it may have run.
+    /// Report that it failed without effect on data; parts of it may have run.
     Failed,
-    /// Say that its outcome is unknown.
+    /// Report that its outcome is unknown.
     Unknown,
-    /// End the answer that was begun with an error; it had no effect on data.
+    /// End the partly sent response with an error; the request had no effect on data.
     Abort,
 }
 
-/// Where a request is on its way.
+/// Progress of the current attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    /// Nothing of this attempt has left.
-    Held,
-    /// Bytes of this attempt may have left.
+    /// No byte of it has been sent.
+    NotSent,
+    /// Bytes of it may have been sent.
     Sent,
-    /// A part of the answer went to the caller.
-    Begun,
+    /// A part of the response was sent to the caller.
+    Responding,
 }
 
-/// Follows one request through its attempts.
+/// Tracks one request through its attempts.
 ///
-/// Invariant: `unsure` is set once an attempt was lost after bytes may have left.
+/// Invariant: `may_have_run` is set once an attempt was lost after bytes may have been sent,
+/// or the server ran a write that no majority confirmed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Outcome {
     kind: Kind,
     state: State,
     sent: u32,
-    unsure: bool,
+    may_have_run: bool,
 }
 
 impl Outcome {
-    /// A request of which nothing was sent.
+    /// A request that has not been sent.
     pub const fn new(kind: Kind) -> Self {
         Self {
             kind,
-            state: State::Held,
+            state: State::NotSent,
             sent: 0,
-            unsure: false,
+            may_have_run: false,
         }
     }
 
-    /// What a second execution would do.
+    /// Effect of a second execution.
     pub const fn kind(&self) -> Kind {
         self.kind
     }
 
-    /// What was taken for a read turns out to write.
+    /// Changes a request classified as a read to a write.
     ///
-    /// Failure: a read calls a function that writes, which its text does not show. The
-    /// server refuses it, and it is sent again as a write; judged as a read, it would
-    /// be repeated after a lost connection. A request marked as not repeatable is never
-    /// taken for a read in the first place.
+    /// A statement classified as a read may call a function that writes, which its text
+    /// does not show. The server rejects it, and it is sent again as a write; still
+    /// classified as a read, it would be repeated after a lost connection. A request marked
+    /// as not repeatable is never classified as a read in the first place.
     pub const fn reclassify(&mut self) {
         if matches!(self.kind, Kind::Read) {
             self.kind = Kind::Write;
         }
     }
 
-    /// Bytes are about to leave: from here on they may have.
+    /// Records that bytes are about to be sent: from now on they may have been.
     pub const fn sending(&mut self) {
         self.state = State::Sent;
         self.sent += 1;
     }
 
-    /// A part of the answer is about to go to the caller.
+    /// Records that a part of the response is about to be sent to the caller.
     pub const fn response_started(&mut self) {
-        self.state = State::Begun;
+        self.state = State::Responding;
     }
 
-    /// Whether a part of the answer went to the caller.
+    /// Whether a part of the response was sent to the caller.
     pub const fn has_response_started(&self) -> bool {
-        matches!(self.state, State::Begun)
+        matches!(self.state, State::Responding)
     }
 
-    /// Whether another server may run it instead: it has no effect, and nothing of an
-    /// answer has gone out.
+    /// Whether another server may run it instead: it has no effect on data, and no part of
+    /// a response has been sent to the caller.
     pub const fn may_reroute(&self) -> bool {
         matches!(self.kind, Kind::Read) && !self.has_response_started()
     }
 
-    /// There was no route, no admission, or no connection, and there will be
-    /// none before the deadline.
+    /// Verdict without another attempt: no route, admission or connection is available
+    /// before the deadline, or no retry is allowed.
     pub const fn without_retry(&self) -> Verdict {
-        match (self.unsure, self.kind) {
+        match (self.may_have_run, self.kind) {
             (false, _) => Verdict::DidNotRun,
             (true, Kind::Read) => Verdict::Failed,
             (true, _) => Verdict::Unknown,
         }
     }
 
-    /// The connection broke, stayed silent, or the deadline passed.
+    /// Records that the attempt was lost: there was no route or connection, the connection
+    /// broke or was unresponsive, or the deadline passed.
     ///
-    /// `time_left` tells whether another attempt could end before the deadline.
+    /// `time_left` is whether another attempt could finish before the deadline.
     pub const fn lost(&mut self, time_left: bool) -> Verdict {
         let state = self.state;
         match state {
-            State::Held if time_left => return Verdict::Retry,
-            State::Held => return self.without_retry(),
-            State::Sent | State::Begun => self.unsure = true,
+            State::NotSent if time_left => return Verdict::Retry,
+            State::NotSent => return self.without_retry(),
+            State::Sent | State::Responding => self.may_have_run = true,
         }
         match (self.kind, state) {
-            (Kind::Read, State::Begun) => Verdict::Abort,
-            (Kind::Read, _) if time_left && self.sent < MAX_SENT => self.again(),
+            (Kind::Read, State::Responding) => Verdict::Abort,
+            (Kind::Read, _) if time_left && self.sent < MAX_SENT => self.retry(),
             (Kind::Read, _) => Verdict::Failed,
             (Kind::Write | Kind::Once, _) => Verdict::Unknown,
         }
     }
 
-    /// The server answered that it refuses to run the request, whole and undone.
+    /// Records that the server rejected the request before any part of it took effect.
     pub const fn refused(&mut self, time_left: bool) -> Verdict {
-        // After a part of the answer has gone out, the refusal belongs to a later
-        // statement of the same request; what came before it may have run.
-        if matches!(self.state, State::Begun) {
+        // If a part of the response has already been sent, the server rejected a later
+        // statement of the same request; the earlier ones may have run.
+        if matches!(self.state, State::Responding) {
             return match self.kind {
                 Kind::Read => Verdict::Abort,
                 Kind::Write | Kind::Once => Verdict::Unknown,
@@ -146,19 +148,19 @@
         }
         let repeatable = !matches!(self.kind, Kind::Once);
         if repeatable && time_left && self.sent < MAX_SENT {
-            return self.again();
+            return self.retry();
         }
         self.without_retry()
     }
 
-    /// The server ran a write whose survival no majority confirmed.
+    /// Records that the server ran a write that no majority confirmed.
     pub const fn unconfirmed(&mut self) -> Verdict {
-        self.unsure = true;
+        self.may_have_run = true;
         Verdict::Unknown
     }
 
-    const fn again(&mut self) -> Verdict {
-        self.state = State::Held;
+    const fn retry(&mut self) -> Verdict {
+        self.state = State::NotSent;
         Verdict::Retry
     }
 }
--- a/crates/policy/src/read.rs
+++ b/crates/policy/src/read.rs
@@ -1,9 +1,9 @@
-//! Choice of the instance that serves a read.
+//! Selection of the instance that serves a read.
 //!
-//! Load: nine reads of ten are lookups, a primary has three slots which writes need, and
-//! bytes between regions are paid for and share a narrow link. So a replica that is
-//! proven fresh goes first, the nearest and least loaded one of them, and the primary
-//! serves what no replica may answer yet.
+//! Nine reads of ten are lookups, a primary has three slots which writes need, and traffic
+//! between regions costs money and shares a narrow link. So the nearest and least loaded
+//! replica that is proven fresh serves the read, and the primary mainly serves reads for
+//! which no replica is fresh enough yet.
 
 use indexmap::IndexMap;
 use model::id::InstanceId;
@@ -16,29 +16,30 @@
 use crate::spec::{Member, Spec};
 use crate::status::{Observed, Role};
 
-/// Weight of the newest latency in the moving average, as a divisor.
+/// Divisor of the newest latency's weight in the moving average.
 const SMOOTHING: u64 = 8;
 
-/// Cost added to the primary, in microseconds: one write's time in its slots (some 5 ms),
-/// which a read there delays, so that replicas queue up to that much before it is used.
+/// Cost added to the primary, in microseconds: the time that a write occupies one of its
+/// slots (about 5 ms), since a read there delays writes. Reads queue on replicas for up to
+/// that long before the primary is used.
 const PRIMARY_COST: u64 = 5_000;
 
-/// Cost added to a far region, in microseconds. One answer of 1 KB takes 0.3 ms of the
-/// 30 Mbit/s link that all traffic shares, and is paid for; 50 ms keep reads within the
-/// region until its instances are more than ten statements behind.
+/// Cost added to another region, in microseconds. A response of 1 KB takes 0.3 ms of the
+/// 30 Mbit/s link that all traffic shares, and is billed. 50 ms keep reads within the
+/// region until its instances have more than ten statements queued.
 const FAR_COST: u64 = 50_000;
 
-/// How an instance serves this proxy's requests.
+/// Load of an instance by this proxy's requests.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Load {
-    /// Requests routed to it that have not ended.
+    /// Requests routed to it that have not finished.
     pub outstanding: u32,
-    /// Moving average of a request's time, in microseconds.
+    /// Moving average of the request latency, in microseconds.
     latency: Option<u64>,
 }
 
 impl Load {
-    /// Takes in a request that ended.
+    /// Records a finished request and its latency.
     pub fn finish(&mut self, took: Span) {
         self.outstanding = self.outstanding.saturating_sub(1);
         let us = took.as_micros();
@@ -46,16 +47,16 @@
         self.latency = Some((old * (SMOOTHING - 1) + us) / SMOOTHING);
     }
 
-    /// Takes in a request that failed, or did not go there after all.
+    /// Removes a request that failed or was not sent to the instance after all.
     pub fn release(&mut self) {
         self.outstanding = self.outstanding.saturating_sub(1);
     }
 }
 
-/// Choice for one read.
+/// Result of the selection for one read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Selection {
-    /// Run it here; the answer covers the point.
+    /// Run it on this instance; the response covers the point.
     Run(InstanceId, Point),
     /// No instance is fresh enough yet.
     Wait,
@@ -63,39 +64,39 @@
     Forked(Point),
 }
 
-/// What a choice rests on.
+/// Selects the instance for one read.
 pub struct Selector<'a> {
-    /// The present.
+    /// Current time.
     pub now: Time,
     /// When the read arrived.
     pub arrived: Time,
-    /// What it must see.
+    /// Data that it must see.
     pub need: ReadNeed,
-    /// Where this proxy runs.
-    pub here: &'a Location,
-    /// The group.
+    /// Location of this proxy.
+    pub location: &'a Location,
+    /// Specification of the group.
     pub spec: &'a Spec,
     /// Newest term with a known primary.
     pub term: Term,
-    /// The primary, unless it is in doubt.
+    /// The primary, unless it is known to be deposed.
     pub primary: Option<&'a InstanceId>,
-    /// Newest observation of each instance that answers.
+    /// Newest observation of each instance that responds.
     pub seen: IndexMap<&'a InstanceId, &'a Observed>,
     /// Loads of the instances.
     pub loads: &'a IndexMap<InstanceId, Load>,
-    /// Proofs of freshness.
-    pub fresh: &'a Freshness,
+    /// Freshness proofs.
+    pub freshness: &'a Freshness,
 }
 
 impl Selector<'_> {
-    /// Chooses.
+    /// Selects the cheapest instance that is fresh enough, or waits for one.
     pub fn select(&self) -> Selection {
         if let Some(point) = self.forked() {
             return Selection::Forked(point);
         }
         let mut best: Option<(u64, &InstanceId, Point)> = None;
         for (id, member) in &self.spec.members {
-            let Some(point) = self.covered(id, member) else {
+            let Some(point) = self.covered_point(id, member) else {
                 continue;
             };
             let cost = self.cost(id, member);
@@ -104,30 +105,33 @@
             }
         }
         match best {
-            Some((_, id, _)) if self.is_dear(id) && self.worth_waiting() => Selection::Wait,
+            Some((_, id, _)) if self.is_costly(id) && self.worth_waiting() => Selection::Wait,
             Some((_, id, point)) => Selection::Run(id.clone(), point),
             None => Selection::Wait,
         }
     }
 
-    /// Only the newest primary's log tells that a point is gone: an older log may merely
-    /// not have the record yet, or still hold what was discarded.
+    /// The session's point, if a promotion discarded it.
+    ///
+    /// Only the log of the newest primary shows this: an older log may not have received
+    /// the record yet, or may still hold a discarded one.
     fn forked(&self) -> Option<Point> {
         let point = self.need.point?;
         let newest = |o: &&&Observed| o.status.term() == self.term && o.status.fenced <= self.term;
         let mut newest = self.seen.values().filter(newest);
-        let gone = newest.any(|o| o.status.shows(point) == Coverage::Forked);
-        gone.then_some(point)
+        let discarded = newest.any(|o| o.status.shows(point) == Coverage::Forked);
+        discarded.then_some(point)
     }
 
-    /// The point that an answer of the instance is certain to cover, if it will do.
-    fn covered(&self, id: &InstanceId, member: &Member) -> Option<Point> {
+    /// The point that a response of the instance is certain to cover; `None` if the
+    /// instance is not fresh enough.
+    fn covered_point(&self, id: &InstanceId, member: &Member) -> Option<Point> {
         let leads = self.primary == Some(id);
         let seen = self.seen.get(id)?;
-        // An instance that believes to lead but does not may hold records that were never
+        // A deposed primary that still reports the role may hold records that were never
         // acknowledged and will be discarded.
-        let usurper = seen.status.role == Role::Primary && !leads;
-        if usurper || (member.leaving && !leads) {
+        let deposed = seen.status.role == Role::Primary && !leads;
+        if deposed || (member.leaving && !leads) {
             return None;
         }
         let known = self.need.point.unwrap_or_default();
@@ -136,36 +140,39 @@
         }
         match (self.need.max_age, self.need.point) {
             (None, Some(point)) => Some(point),
-            (Some(age), _) if self.young(seen, age) => Some(known),
-            _ => self.barrier(seen).map(|b| b.max(known)),
+            (Some(age), _) if self.within_age(seen, age) => Some(known),
+            _ => self.fresh_point(seen).map(|p| p.max(known)),
         }
     }
 
-    /// The primary always shows its own term's commits, also those after its last status.
+    /// Whether reads on the instance see `point`. Reads on the primary see all commits of
+    /// its own term, also those after its last status.
     fn shows(&self, id: &InstanceId, seen: &Observed, point: Point) -> bool {
-        let own = self.primary == Some(id) && point.term == self.term;
-        own || seen.status.shows(point) == Coverage::Held
+        let own_term = self.primary == Some(id) && point.term == self.term;
+        own_term || seen.status.shows(point) == Coverage::Held
     }
 
-    fn young(&self, seen: &Observed, age: Span) -> bool {
-        let shown = self.fresh.age(self.now, &seen.status);
-        shown.is_some_and(|a| a <= age)
+    /// Whether the data that reads on the instance see is at most `age` old.
+    fn within_age(&self, seen: &Observed, age: Span) -> bool {
+        let bound = self.freshness.age(self.now, &seen.status);
+        bound.is_some_and(|a| a <= age)
     }
 
-    /// Without a point the read must see all that was acknowledged before it arrived: a
-    /// majority must have been seen since then without a later promise.
-    fn barrier(&self, seen: &Observed) -> Option<Point> {
-        let newest = self.fresh.newest()?;
+    /// The newest proven point, if it covers every write acknowledged before the read
+    /// arrived and reads on the instance see it. A read without a session point needs this:
+    /// a majority must have reported since its arrival without promising a later term.
+    fn fresh_point(&self, seen: &Observed) -> Option<Point> {
+        let newest = self.freshness.newest()?;
         let proven = newest.since >= self.arrived;
         let shown = seen.status.shows(newest.point) == Coverage::Held;
         (proven && shown).then_some(newest.point)
     }
 
-    /// Expected time until the answer, in microseconds, with the prices of the primary's
-    /// slots and of the link between regions.
+    /// Expected latency in microseconds, plus the surcharges for the primary and for the
+    /// link between regions.
     fn cost(&self, id: &InstanceId, member: &Member) -> u64 {
         let load = self.loads.get(id).copied().unwrap_or_default();
-        let (assumed, price) = match self.here.distance(&member.location) {
+        let (assumed, surcharge) = match self.location.distance(&member.location) {
             Distance::SameDataCentre => (1_000, 0),
             Distance::SameRegion => (3_000, 0),
             Distance::OtherRegion => (42_000, FAR_COST),
@@ -178,39 +185,39 @@
         } else {
             0
         };
-        latency + queued + price + primary
+        latency + queued + surcharge + primary
     }
 
-    /// Whether the instance serves reads at a price: the primary, or one in a far region.
-    fn is_dear(&self, id: &InstanceId) -> bool {
-        let far = |m: &Member| self.here.distance(&m.location) == Distance::OtherRegion;
+    /// Whether a read on the instance has a surcharge: the primary, or one in another region.
+    fn is_costly(&self, id: &InstanceId) -> bool {
+        let far = |m: &Member| self.location.distance(&m.location) == Distance::OtherRegion;
         self.primary == Some(id) || self.spec.members.get(id).is_some_and(far)
     }
 
-    /// Whether a near replica is expected to catch up before the read has waited for as
+    /// Whether a nearby replica is expected to catch up before the read has waited for as
     /// long as the setting `read_wait` allows.
     ///
-    /// Load: sessions that read what they wrote a moment ago; harm: without the wait each
-    /// of these reads takes a slot of the primary or crosses regions, although a replica
-    /// would have had the answer a few milliseconds later.
+    /// Sessions often read what they have just written. Without the wait, each of these
+    /// reads takes a slot of the primary or crosses regions, although a replica has the
+    /// data a few milliseconds later.
     fn worth_waiting(&self) -> bool {
-        let until = self.arrived + self.spec.settings.read_wait;
+        let deadline = self.arrived + self.spec.settings.read_wait;
         let members = self.spec.members.iter();
-        let near = members.filter(|(id, m)| !m.leaving && !self.is_dear(id));
-        let mut expected = near.filter_map(|(id, _)| self.expected(id));
-        self.now < until && expected.any(|at| at <= until)
+        let near = members.filter(|(id, m)| !m.leaving && !self.is_costly(id));
+        let mut expected = near.filter_map(|(id, _)| self.catch_up_time(id));
+        self.now < deadline && expected.any(|at| at <= deadline)
     }
 
-    /// When a replica is expected to hold what the read must see: as long after it was
-    /// written as the replica was behind when it was last seen.
-    fn expected(&self, id: &InstanceId) -> Option<Time> {
+    /// When a replica is expected to hold what the read must see: the time at which it was
+    /// written plus the lag of the replica in its last observation.
+    fn catch_up_time(&self, id: &InstanceId) -> Option<Time> {
         let seen = self.seen.get(id)?;
-        let lag = self.fresh.age(seen.asked, &seen.status)?;
+        let lag = self.freshness.age(seen.asked, &seen.status)?;
         if self.need.max_age.is_some_and(|age| lag > age) {
             return None;
         }
         let written = match self.need.point {
-            Some(point) => self.fresh.reached(point).unwrap_or(self.arrived),
+            Some(point) => self.freshness.reached(point).unwrap_or(self.arrived),
             None => self.arrived,
         };
         Some(written + lag)
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -1,55 +1,55 @@
-//! Repeated attempts: which are safe, how many a proxy affords, and when.
+//! Retries: which failed attempts are safe to repeat, how many a proxy allows, and when.
 
 use model::unit::Span;
 use rand::Rng;
 
-/// Tokens of a full budget. Load: every backend connection breaks in a failover;
-/// harm: each request comes twice when the server can do least. Ten retries carry
-/// a handful of callers over one broken connection.
-const FULL: f64 = 10.0;
+/// Tokens of a full budget. In a failover every backend connection breaks, and without a
+/// budget each request would be sent twice when the server has the least capacity. Ten
+/// retries get a handful of callers past one broken connection.
+const MAX_TOKENS: f64 = 10.0;
 
-/// Below this no retry is made. Half of the budget goes to the first failures, the
-/// rest has to be earned back before retries start again.
-const RESERVE: f64 = 5.0;
+/// Retries need more tokens than this. The first failures may use half of the budget; after
+/// that, responses have to earn tokens before retries start again.
+const MIN_TOKENS: f64 = 5.0;
 
-/// What an answered request earns: at most one retry for ten answers, so that
-/// retries add a tenth to the load at most.
-const EARNED: f64 = 0.1;
+/// Tokens earned by each response: at most one retry for ten responses, so that retries
+/// add at most a tenth to the load.
+const TOKENS_PER_RESPONSE: f64 = 0.1;
 
-/// What a failure costs, whether it is retried or not: with more than one failure
-/// in eleven requests the budget shrinks to nothing.
-const FAILURE: f64 = 1.0;
+/// Tokens that each failure costs, whether it is retried or not: with more than one failure
+/// in eleven requests the budget shrinks to zero.
+const TOKENS_PER_FAILURE: f64 = 1.0;
 
-/// First delay; about the time of a short statement.
-const FIRST_DELAY: Span = Span::from_millis(5);
+/// Upper bound of the first delay; about the time of a short statement.
+const INITIAL_BACKOFF: Span = Span::from_millis(5);
 
-/// Longest delay; a failover is over in a few of these.
-const LONGEST_DELAY: Span = Span::from_millis(320);
+/// Largest upper bound of a delay; a failover takes a few of these.
+const MAX_BACKOFF: Span = Span::from_millis(320);
 
-/// Most attempts after the first one.
-const MOST_RETRIES: u32 = 4;
+/// Maximum number of attempts after the first one.
+const MAX_RETRIES: u32 = 4;
 
-/// How far an attempt came before it failed.
+/// Progress of an attempt before it failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Progress {
-    /// No byte of the request reached a connection.
+    /// No byte of the request was written to a connection.
     NotSent,
-    /// Bytes may have reached the backend server, and no answer came.
+    /// Bytes may have reached the backend server, and no response arrived.
     Sent,
 }
 
 /// A failed attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Attempt {
-    /// Whether running the request twice equals running it once.
+    /// Whether running the request twice has the same effect as running it once.
     pub idempotent: bool,
-    /// How far it came.
+    /// Progress before the failure.
     pub progress: Progress,
     /// Attempts before this one.
     pub previous_attempts: u32,
 }
 
-/// Retries that a proxy affords towards one group.
+/// Budget of a proxy's retries to one group.
 #[derive(Clone, Copy, Debug)]
 pub struct Budget {
     tokens: f64,
@@ -57,36 +57,37 @@
 
 impl Default for Budget {
     fn default() -> Self {
-        Self { tokens: FULL }
+        Self { tokens: MAX_TOKENS }
     }
 }
 
 impl Budget {
-    /// An answer came.
+    /// Records a response.
     pub fn answered(&mut self) {
-        self.tokens = (self.tokens + EARNED).min(FULL);
+        self.tokens = (self.tokens + TOKENS_PER_RESPONSE).min(MAX_TOKENS);
     }
 
-    /// An attempt failed; the delay before the next one, if there may be one.
+    /// Records a failed attempt and returns the delay before the next one, if a retry is
+    /// allowed.
     ///
-    /// Failure: a payment was sent and the connection broke before the answer. It
-    /// may have run, so it is never sent again, whatever the budget.
+    /// If the connection breaks after a payment was sent and before the response, the
+    /// payment may have run, so it is never sent again, whatever the budget.
     pub fn failed(&mut self, attempt: Attempt, rng: &mut impl Rng) -> Option<Span> {
-        let allowed = self.tokens > RESERVE;
-        self.tokens = (self.tokens - FAILURE).max(0.0);
+        let affordable = self.tokens > MIN_TOKENS;
+        self.tokens = (self.tokens - TOKENS_PER_FAILURE).max(0.0);
         let safe = attempt.idempotent || attempt.progress == Progress::NotSent;
-        let more = attempt.previous_attempts < MOST_RETRIES;
-        (allowed && safe && more).then(|| delay(attempt.previous_attempts, rng))
+        let retries_left = attempt.previous_attempts < MAX_RETRIES;
+        (affordable && safe && retries_left).then(|| delay(attempt.previous_attempts, rng))
     }
 }
 
-/// A random delay up to a bound that doubles.
+/// A random delay up to a bound that doubles with each previous attempt (full jitter).
 ///
-/// Load: all connections of a server break at once; harm: all retries meet at the
-/// next server in the same millisecond. The whole range is random, which spreads
-/// them best.
+/// When all connections of a server break at once, retries without jitter would reach the
+/// next server in the same millisecond. The delay is random over the whole range, which
+/// spreads them best.
 pub fn delay(previous_attempts: u32, rng: &mut impl Rng) -> Span {
-    let bound = FIRST_DELAY.times(1 << previous_attempts.min(16));
-    let bound = bound.min(LONGEST_DELAY).as_micros();
+    let bound = INITIAL_BACKOFF.times(1 << previous_attempts.min(16));
+    let bound = bound.min(MAX_BACKOFF).as_micros();
     Span::from_micros(rng.random_range(0..=bound))
 }
--- a/crates/policy/src/route.rs
+++ b/crates/policy/src/route.rs
@@ -1,4 +1,4 @@
-//! What a request needs of a route, and the answers it may get.
+//! Requirements of a request on its route, and the possible results of routing it.
 
 use std::net::SocketAddr;
 
@@ -9,68 +9,68 @@
 
 use crate::status::Role;
 
-/// What a read must see.
+/// Data that a read must see.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ReadNeed {
     /// Newest point that the session has written or seen; `Point::default()` when it is
     /// known to have written nothing. `None` when unknown: the read then sees every write
     /// that was acknowledged before the read was routed.
     pub point: Option<Point>,
-    /// Age that the caller accepts for data that it did not write itself. With an age
-    /// stated and no point, the caller vouches that the age is all that it asks for.
+    /// Age that the caller accepts for data that it did not write itself. With an age and no
+    /// point, the age is the only requirement: the caller doesn't need its own writes.
     pub max_age: Option<Span>,
 }
 
-/// Where a request is to run.
+/// Destination of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Target {
     /// Backend server that runs the request.
     pub instance: InstanceId,
     /// Its address.
     pub address: SocketAddr,
-    /// Where it is.
+    /// Its location.
     pub location: Location,
-    /// Part that it plays.
+    /// Its role.
     pub role: Role,
     /// Term under which the route was chosen.
     pub term: Term,
-    /// Proxy to forward through when this one does not reach the backend server.
+    /// Proxy to forward through if this one cannot reach the backend server.
     pub via: Option<ProxyId>,
-    /// Point that the answer is certain to cover; the session advances to it.
+    /// Point that the response is certain to cover; the session advances to it.
     pub point: Point,
 }
 
-/// Why a request was given no route. It did not run.
+/// Why a request has no route. It did not run.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RouteError {
-    /// The group has no primary at present.
-    #[error("the group has no primary at present")]
+    /// The group currently has no primary.
+    #[error("the group currently has no primary")]
     NoPrimary {
-        /// When another try is worth while.
+        /// Time after which a retry may succeed.
         retry: Span,
     },
-    /// Most instances of the group are out of reach, so that no write can be made safe.
-    #[error("most instances of the group are out of reach")]
+    /// Most instances of the group are unreachable, so that no write can be confirmed.
+    #[error("most instances of the group are unreachable")]
     NoMajority {
-        /// When another try is worth while.
+        /// Time after which a retry may succeed.
         retry: Span,
     },
-    /// Too many requests wait for the group already.
-    #[error("too many requests wait for the group's next primary")]
+    /// Too many requests already wait for a route to the group.
+    #[error("too many requests wait for a route to the group")]
     QueueFull {
-        /// When another try is worth while.
+        /// Time after which a retry may succeed.
         retry: Span,
     },
-    /// No instance in reach is as fresh as the read needs.
-    #[error("no instance in reach is fresh enough for the read")]
+    /// No reachable instance is fresh enough for the read.
+    #[error("no reachable instance is fresh enough for the read")]
     NotFresh {
-        /// When another try is worth while.
+        /// Time after which a retry may succeed.
         retry: Span,
     },
     /// The session saw a record that a promotion discarded.
     #[error("the session's point {point} was discarded in a promotion")]
     Forked {
-        /// The point that no instance holds any more.
+        /// The discarded point.
         point: Point,
     },
     /// The proxy is shutting down.
@@ -79,7 +79,7 @@
 }
 
 impl RouteError {
-    /// When the caller may try again with a chance of success.
+    /// Time after which a retry by the caller may succeed.
     pub fn retry_after(&self) -> Option<Span> {
         match self {
             Self::NoPrimary { retry }
@@ -91,7 +91,7 @@
     }
 }
 
-/// Why a write is not acknowledged. It ran on a primary, and its outcome is unknown.
+/// Why a write that ran on a primary is not acknowledged. Its outcome is unknown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Unconfirmed {
     /// The deadline passed before a majority held the write.
@@ -100,15 +100,15 @@
     /// The primary was replaced before a majority was known to hold the write.
     #[error("the primary was replaced before a majority held the write")]
     Replaced,
-    /// The backend server named a point of another term than the one routed to.
-    #[error("the write is not of the term that it was routed to")]
+    /// The backend server reported a point of another term than the one routed to.
+    #[error("the write ran under another term than the one it was routed to")]
     OtherTerm,
     /// The proxy is shutting down.
     #[error("the proxy is shutting down")]
     Stopping,
 }
 
-/// How a backend server failed a request, as far as the connection shows.
+/// How a request to a backend server failed, as far as the connection shows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, thiserror::Error)]
 pub enum Failure {
     /// No connection could be opened.
@@ -117,13 +117,13 @@
     /// An open connection broke.
     #[error("the connection broke")]
     Broken,
-    /// Nothing came back in time.
-    #[error("no answer in time")]
+    /// No response arrived in time.
+    #[error("no response in time")]
     Timeout,
-    /// It refused the write as not being the primary, or as fenced (25006).
+    /// It rejected the write because it is not the primary or is fenced (SQLSTATE 25006).
     #[error("the server does not accept writes")]
     ReadOnly,
-    /// It answered something unexpected.
-    #[error("unexpected answer")]
+    /// It sent an unexpected response.
+    #[error("unexpected response")]
     Protocol,
 }
--- a/crates/policy/tests/outcome.rs
+++ b/crates/policy/tests/outcome.rs
@@ -1,26 +1,26 @@
-//! Request outcomes against an oracle that knows what the server really did.
+//! Checks verdicts against a model that knows what the server really executed.
 
 use policy::outcome::{Kind, MAX_SENT, Outcome, Verdict};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest, prop_state_machine};
 
-/// One disturbance, with what the server did behind the proxy's back.
+/// One interruption, with what the server executed unknown to the proxy.
 #[derive(Clone, Debug)]
 enum Step {
-    /// No route or connection, with time left or not.
-    NoWay { time_left: bool },
-    /// Bytes leave; the server may run them before the connection is lost.
+    /// There is no route or connection.
+    NoRoute { time_left: bool },
+    /// Bytes are sent; the server may run them before the connection is lost.
     Lost {
         runs: bool,
-        begun: bool,
+        responded: bool,
         time_left: bool,
     },
-    /// The server refuses, having run nothing.
+    /// The server rejects the request without running it.
     Refused { time_left: bool },
-    /// The server refuses what was taken for a read, having run nothing.
-    Writes { time_left: bool },
-    /// The server runs it, but no majority confirms.
+    /// The server rejects, without running it, a write that was classified as a read.
+    Reclassified { time_left: bool },
+    /// The server runs it, but no majority confirms it.
     Unconfirmed,
 }
 
@@ -29,7 +29,7 @@
 struct Truth {
     kind: Kind,
     executions: u32,
-    maybe_left: u32,
+    times_sent: u32,
     ended: bool,
 }
 
@@ -44,7 +44,7 @@
             .prop_map(|kind| Truth {
                 kind,
                 executions: 0,
-                maybe_left: 0,
+                times_sent: 0,
                 ended: false,
             })
             .boxed()
@@ -52,14 +52,14 @@
 
     fn transitions(_: &Truth) -> BoxedStrategy<Step> {
         prop_oneof![
-            any::<bool>().prop_map(|time_left| Step::NoWay { time_left }),
-            any::<(bool, bool, bool)>().prop_map(|(runs, begun, time_left)| Step::Lost {
+            any::<bool>().prop_map(|time_left| Step::NoRoute { time_left }),
+            any::<(bool, bool, bool)>().prop_map(|(runs, responded, time_left)| Step::Lost {
                 runs,
-                begun,
+                responded,
                 time_left
             }),
             any::<bool>().prop_map(|time_left| Step::Refused { time_left }),
-            any::<bool>().prop_map(|time_left| Step::Writes { time_left }),
+            any::<bool>().prop_map(|time_left| Step::Reclassified { time_left }),
             Just(Step::Unconfirmed),
         ]
         .boxed()
@@ -78,7 +78,7 @@
 impl Run {
     fn send(&mut self) {
         self.outcome.sending();
-        self.truth.maybe_left += 1;
+        self.truth.times_sent += 1;
     }
 }
 
@@ -98,15 +98,15 @@
             return run;
         }
         let verdict = match step {
-            Step::NoWay { time_left } => run.outcome.lost(time_left),
+            Step::NoRoute { time_left } => run.outcome.lost(time_left),
             Step::Lost {
                 runs,
-                begun,
+                responded,
                 time_left,
             } => {
                 run.send();
-                run.truth.executions += u32::from(runs || begun);
-                if begun {
+                run.truth.executions += u32::from(runs || responded);
+                if responded {
                     run.outcome.response_started();
                 }
                 run.outcome.lost(time_left)
@@ -115,7 +115,7 @@
                 run.send();
                 run.outcome.refused(time_left)
             }
-            Step::Writes { time_left } => {
+            Step::Reclassified { time_left } => {
                 run.send();
                 if run.truth.kind == Kind::Read && run.truth.executions == 0 {
                     run.truth.kind = Kind::Write;
@@ -137,17 +137,17 @@
 
 fn check(truth: &Truth, verdict: Verdict) {
     let writes = truth.kind != Kind::Read;
-    assert!(truth.maybe_left <= MAX_SENT, "sent too often");
+    assert!(truth.times_sent <= MAX_SENT, "sent too often");
     match verdict {
-        Verdict::DidNotRun => assert_eq!(truth.executions, 0, "a false did-not-run"),
-        Verdict::Retry if writes => assert_eq!(truth.executions, 0, "a second execution"),
+        Verdict::DidNotRun => assert_eq!(truth.executions, 0, "reported as not run, but it ran"),
+        Verdict::Retry if writes => assert_eq!(truth.executions, 0, "a write would run twice"),
         Verdict::Retry | Verdict::Unknown => {}
-        Verdict::Failed | Verdict::Abort => assert!(!writes, "a write must not be called failed"),
+        Verdict::Failed | Verdict::Abort => assert!(!writes, "a write must not be reported failed"),
     }
     if truth.kind == Kind::Once {
-        assert!(truth.maybe_left <= 1, "sent twice");
+        assert!(truth.times_sent <= 1, "sent twice");
         assert!(
-            verdict != Verdict::Retry || truth.maybe_left == 0,
+            verdict != Verdict::Retry || truth.times_sent == 0,
             "would be sent twice"
         );
     }
@@ -167,5 +167,5 @@
     })]
 
     #[test]
-    fn no_false_word_and_no_second_execution(sequential 1..8 => Machine);
+    fn no_false_report_and_no_second_execution(sequential 1..8 => Machine);
 }
--- a/crates/policy/tests/retry.rs
+++ b/crates/policy/tests/retry.rs
@@ -1,16 +1,16 @@
-//! Which failed requests are sent again.
+//! Which failed requests are retried.
 
 use policy::retry::{Attempt, Budget, Progress};
 use rand::SeedableRng as _;
 use rand::rngs::SmallRng;
 use test_case::test_case;
 
-// A connection breaks. Only what is idempotent, or was certainly not sent, runs again;
-// a payment that may have run does not, or its tenant would pay twice.
-#[test_case(true, Progress::Sent => true; "a read without an answer")]
+// After a broken connection, only requests that are idempotent or were certainly not sent
+// are retried. A retried payment that had already run would charge its customer twice.
+#[test_case(true, Progress::Sent => true; "a read without a response")]
 #[test_case(false, Progress::NotSent => true; "a payment that was not sent")]
-#[test_case(false, Progress::Sent => false; "a payment without an answer")]
-fn repeats(idempotent: bool, progress: Progress) -> bool {
+#[test_case(false, Progress::Sent => false; "a payment without a response")]
+fn retries_only_safe_requests(idempotent: bool, progress: Progress) -> bool {
     let attempt = Attempt {
         idempotent,
         progress,
@@ -21,7 +21,7 @@
 }
 
 // Every request fails in a failover. Retries stop after a few, so that the server that
-// takes over does not get everything twice.
+// takes over does not receive every request twice.
 #[test]
 fn budget_shrinks_with_failure() {
     let mut rng = SmallRng::seed_from_u64(1);
