--- a/crates/model/src/config.rs
+++ b/crates/model/src/config.rs
@@ -1,4 +1,4 @@
-//! The fleet configuration: groups, callers, defaults and reasoned exceptions.
+//! The fleet configuration: groups, callers, defaults, and exceptions with their reasons.
 
 use std::fmt;
 
@@ -8,10 +8,10 @@
 use crate::location::Location;
 use crate::settings::{Patch, Settings};
 
-/// Shortest reason that an exception may state, in characters.
+/// Minimum length of an exception's reason, in characters.
 pub const MIN_REASON: usize = 10;
 
-/// What the operators declare; one document in the platform's store.
+/// Configuration of the fleet, as the operators declare it in the platform's store.
 #[derive(
     Clone, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize, schemars::JsonSchema,
 )]
@@ -23,17 +23,17 @@
     /// Database groups.
     #[schemars(with = "std::collections::BTreeMap<String, Group>")]
     pub groups: IndexMap<GroupId, Group>,
-    /// Callers and the groups they may reach.
+    /// Callers and the groups that they may access.
     #[schemars(with = "std::collections::BTreeMap<String, Caller>")]
     pub callers: IndexMap<CallerId, Caller>,
     /// Request classes with their weights in the fair queue.
     #[serde(default)]
     #[schemars(with = "std::collections::BTreeMap<String, ClassSpec>")]
     pub classes: IndexMap<Class, ClassSpec>,
-    /// Settings of the whole fleet.
+    /// Default settings of all groups.
     #[serde(default)]
     pub defaults: Settings,
-    /// Deviations from the defaults, each with its reason; later ones win.
+    /// Deviations from the defaults, each with its reason; later ones take precedence.
     #[serde(default)]
     pub exceptions: Vec<Exception>,
 }
@@ -44,7 +44,7 @@
 )]
 #[serde(deny_unknown_fields)]
 pub struct Group {
-    /// Its backend servers; the first is the primary of term 1.
+    /// Its backend servers; the first one is the primary of term 1.
     #[schemars(with = "std::collections::BTreeMap<String, Instance>")]
     pub instances: IndexMap<InstanceId, Instance>,
     /// Database name on the backend servers.
@@ -53,7 +53,7 @@
     /// User name on the backend servers.
     #[serde(default = "default_name")]
     pub user: String,
-    /// Password on the backend servers, if they ask for one.
+    /// Password on the backend servers, if they require one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub password: Option<String>,
 }
@@ -73,7 +73,7 @@
     pub address: std::net::SocketAddr,
     /// Data centre in which it runs.
     pub data_centre: DataCentre,
-    /// Whether it is being taken out of service: it gets no new work.
+    /// Whether it is being decommissioned and receives no new requests.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub leaving: bool,
 }
@@ -84,20 +84,20 @@
 )]
 #[serde(deny_unknown_fields)]
 pub struct Caller {
-    /// SCRAM-SHA-256 verifier, as PostgreSQL writes it; without one no password is asked.
+    /// SCRAM-SHA-256 verifier in the format of PostgreSQL; without one, no password is required.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub verifier: Option<String>,
-    /// Groups that the caller may reach, named as the database at login.
+    /// Groups that the caller may access; at login, the database name selects the group.
     pub groups: Vec<GroupId>,
-    /// Share of this caller against others.
-    #[serde(default = "one")]
+    /// Weight of this caller relative to the others.
+    #[serde(default = "default_weight")]
     pub weight: u32,
-    /// Class of requests that carry no class mark.
+    /// Class of requests without a class mark.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub class: Option<Class>,
 }
 
-fn one() -> u32 {
+fn default_weight() -> u32 {
     1
 }
 
@@ -107,11 +107,11 @@
 )]
 #[serde(deny_unknown_fields)]
 pub struct ClassSpec {
-    /// Share of this class against others of the same caller.
+    /// Weight of this class relative to the others of the same caller.
     pub weight: u32,
 }
 
-/// A deviation from the defaults.
+/// A deviation from the default settings.
 #[derive(
     Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize, schemars::JsonSchema,
 )]
@@ -125,25 +125,26 @@
     pub reason: String,
 }
 
-/// What is wrong with a configuration.
+/// An error in a configuration.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Problem {
-    /// A data centre is named that is not declared.
+    /// A referenced data centre is not declared.
     #[error("data centre {0} is not declared")]
     UnknownDataCentre(DataCentre),
-    /// A group is named that is not declared.
+    /// A referenced group is not declared.
     #[error("group {0} is not declared")]
     UnknownGroup(GroupId),
-    /// A class is named that is not declared.
+    /// A referenced class is not declared.
     #[error("class {0} is not declared")]
     UnknownClass(Class),
-    /// A group has no majority to survive a failure with.
+    /// A group has too few instances, or an even number of them, to keep a majority after a
+    /// failure.
     #[error("a group needs an odd number of instances, at least 3, not {0}")]
     GroupSize(usize),
-    /// Two instances share one address.
+    /// Two instances have the same address.
     #[error("address {0} is used by two instances")]
     SharedAddress(std::net::SocketAddr),
-    /// A number must be larger than zero.
+    /// A number or duration is zero.
     #[error("must be larger than zero")]
     Zero,
     /// A backend server has fewer connections than slots.
@@ -154,19 +155,19 @@
         /// Slots of a backend server.
         slots: u32,
     },
-    /// An exception gives no reason that a reader could judge.
+    /// An exception has no reason, or one that is too short to be meaningful.
     #[error("an exception needs a reason of at least {MIN_REASON} characters")]
     MissingReason,
-    /// An exception changes nothing.
+    /// An exception changes no setting.
     #[error("the exception sets nothing")]
     EmptyException,
-    /// Weaker acknowledgement as the default of the whole fleet.
+    /// The default is to acknowledge a write before a majority holds it.
     #[error("acknowledge \"primary\" is not accepted as a default")]
     WeakDefault,
 }
 
 impl Problem {
-    /// What an operator can do about it.
+    /// How an operator can fix it.
     pub fn hint(&self) -> &'static str {
         match self {
             Self::UnknownDataCentre(_) => "declare it under data_centres, or correct the name",
@@ -183,12 +184,12 @@
     }
 }
 
-/// A problem and the place of it in the document.
+/// A problem with its location in the document.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Finding {
     /// Keys and indexes from the root to the value.
     pub path: Vec<String>,
-    /// What is wrong there.
+    /// The problem there.
     pub problem: Problem,
 }
 
@@ -205,7 +206,7 @@
 }
 
 impl Fleet {
-    /// The settings in force for a group: the defaults, then its exceptions in order.
+    /// Effective settings of a group: the defaults, overridden by its exceptions in order.
     pub fn settings(&self, group: &GroupId) -> Settings {
         let mut settings = self.defaults.clone();
         for exception in self.exceptions.iter().filter(|e| e.group == *group) {
@@ -214,7 +215,7 @@
         settings
     }
 
-    /// The place of a data centre, if it is declared.
+    /// The location of a data centre, if it is declared.
     pub fn location(&self, data_centre: &DataCentre) -> Option<Location> {
         let region = self.data_centres.get(data_centre)?.clone();
         Some(Location {
@@ -223,7 +224,7 @@
         })
     }
 
-    /// Everything that is wrong; an empty list means the configuration may be applied.
+    /// All problems; if there are none, the configuration may be applied.
     pub fn check(&self) -> Vec<Finding> {
         let mut findings = Findings::default();
         self.check_groups(&mut findings);
@@ -244,19 +245,19 @@
     fn check_groups(&self, findings: &mut Findings) {
         let mut addresses = indexmap::IndexSet::new();
         for (group, spec) in &self.groups {
-            let at = ["groups", group.as_str(), "instances"];
+            let path = ["groups", group.as_str(), "instances"];
             let size = spec.instances.len();
             if size < 3 || size % 2 == 0 {
-                findings.add(&at, Problem::GroupSize(size));
+                findings.add(&path, Problem::GroupSize(size));
             }
             for (name, instance) in &spec.instances {
-                let at = [at[0], at[1], at[2], name.as_str()];
+                let path = [path[0], path[1], path[2], name.as_str()];
                 if !addresses.insert(instance.address) {
-                    findings.add(&at, Problem::SharedAddress(instance.address));
+                    findings.add(&path, Problem::SharedAddress(instance.address));
                 }
                 if !self.data_centres.contains_key(&instance.data_centre) {
                     let problem = Problem::UnknownDataCentre(instance.data_centre.clone());
-                    findings.add(&at, problem);
+                    findings.add(&path, problem);
                 }
             }
         }
@@ -264,14 +265,14 @@
 
     fn check_callers(&self, findings: &mut Findings) {
         for (name, caller) in &self.callers {
-            let at = ["callers", name.as_str()];
+            let path = ["callers", name.as_str()];
             for group in caller
                 .groups
                 .iter()
                 .filter(|g| !self.groups.contains_key(*g))
             {
                 let problem = Problem::UnknownGroup(group.clone());
-                findings.add(&[at[0], at[1], "groups"], problem);
+                findings.add(&[path[0], path[1], "groups"], problem);
             }
             if let Some(class) = caller
                 .class
@@ -279,37 +280,37 @@
                 .filter(|c| !self.classes.contains_key(*c))
             {
                 let problem = Problem::UnknownClass(class.clone());
-                findings.add(&[at[0], at[1], "class"], problem);
+                findings.add(&[path[0], path[1], "class"], problem);
             }
             if caller.weight == 0 {
-                findings.add(&[at[0], at[1], "weight"], Problem::Zero);
+                findings.add(&[path[0], path[1], "weight"], Problem::Zero);
             }
         }
     }
 
     fn check_exceptions(&self, findings: &mut Findings) {
-        for (at, exception) in self.exceptions.iter().enumerate() {
-            let index = at.to_string();
-            let at = ["exceptions", index.as_str()];
+        for (index, exception) in self.exceptions.iter().enumerate() {
+            let index = index.to_string();
+            let path = ["exceptions", index.as_str()];
             if !self.groups.contains_key(&exception.group) {
                 let problem = Problem::UnknownGroup(exception.group.clone());
-                findings.add(&[at[0], at[1], "group"], problem);
+                findings.add(&[path[0], path[1], "group"], problem);
             }
             if exception.reason.trim().chars().count() < MIN_REASON {
-                findings.add(&[at[0], at[1], "reason"], Problem::MissingReason);
+                findings.add(&[path[0], path[1], "reason"], Problem::MissingReason);
             }
             if exception.set.is_empty() {
-                findings.add(&[at[0], at[1], "set"], Problem::EmptyException);
+                findings.add(&[path[0], path[1], "set"], Problem::EmptyException);
             }
             let mut settings = self.defaults.clone();
             exception.set.apply(&mut settings);
-            check_settings(&settings, &[at[0], at[1], "set"], findings);
+            check_settings(&settings, &[path[0], path[1], "set"], findings);
         }
     }
 }
 
-fn check_settings(settings: &Settings, at: &[&str], findings: &mut Findings) {
-    let mut add = |key, problem| findings.add(&[at, &[key]].concat(), problem);
+fn check_settings(settings: &Settings, path: &[&str], findings: &mut Findings) {
+    let mut add = |key, problem| findings.add(&[path, &[key]].concat(), problem);
     for (key, value) in [
         ("slots", settings.slots),
         ("queue", settings.queue),
@@ -347,7 +348,7 @@
     }
 }
 
-/// Reads JSON with comments into a typed document; the error names line and column.
+/// Parses JSON with comments into a typed document; the error names line and column.
 pub fn parse<T: serde::de::DeserializeOwned>(
     text: &str,
 ) -> Result<T, jsonc_parser::errors::ParseError> {
--- a/crates/model/src/document.rs
+++ b/crates/model/src/document.rs
@@ -1,10 +1,10 @@
 //! The stored form of the fleet configuration.
 //!
-//! A small fleet is one value. A larger one is a tree whose inner and outer nodes are
-//! named by their content: leaves hold a few groups or callers each, index parts name
-//! leaves, the head names index parts. Parts are written first and never change, then
-//! the head is switched by compare-and-swap, so a reader sees one whole configuration
-//! or the other, and a change of one group costs three small values.
+//! A small fleet is stored as one value, a larger one as a content-addressed tree: leaves
+//! hold a few groups or callers each, index parts list leaves, and the head lists index
+//! parts. Parts are immutable and written first. Then the head is replaced by
+//! compare-and-swap, so that a reader sees either the old or the new configuration as a
+//! whole. A change of one group writes three small values.
 
 use base64::Engine as _;
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
@@ -14,7 +14,7 @@
 use crate::config::{Caller, Fleet, Group};
 use crate::id::{CallerId, GroupId};
 
-/// Everything that the fleet keeps in the store lies under this prefix.
+/// Prefix of all keys of the fleet in the store.
 pub const PREFIX: &str = "pomeloscale/";
 
 /// Key of the configuration's head.
@@ -23,32 +23,32 @@
 /// Prefix of the parts' keys.
 pub const PARTS: &str = "pomeloscale/parts/";
 
-/// Largest head that is stored as one value. The store accepts a megabyte; well below
-/// it, a change is cheaper to spread as parts.
+/// Maximum size of a configuration that is stored as one value. The store accepts a
+/// megabyte; well below that, a change is cheaper to distribute as parts.
 pub const SINGLE_VALUE_LIMIT: usize = 64 << 10;
 
-/// Entries that share a leaf on average. Fewer make the index longer, more make each
-/// change dearer; at 33,000 groups 8 give 4,096 leaves of about 2 KB.
+/// Average number of entries in a leaf. With fewer entries the index is longer, with more
+/// entries each change costs more. For 33,000 groups, 8 gives 4,096 leaves of about 2 KB.
 const LEAF_ENTRIES: usize = 8;
 
-/// Leaves that one index part names; the square root of the leaves at that size.
+/// Leaves that one index part lists: the square root of the number of leaves at that size.
 const INDEX_ENTRIES: usize = 64;
 
-/// Bytes of a part's hash that its name keeps: no two parts ever share 128 bits.
+/// Bytes of a part's hash that form its name; a collision of 128 bits does not occur.
 const HASH_LEN: usize = 16;
 
-/// Why a stored configuration cannot be read.
+/// A stored configuration cannot be read.
 #[derive(Debug, thiserror::Error)]
 pub enum DocumentError {
-    /// A value is not JSON of the expected form.
+    /// A value is not JSON of the expected format.
     #[error("the stored configuration cannot be read: {0}")]
     Form(#[from] serde_json::Error),
-    /// A part that the head names has not arrived.
+    /// A part that the head refers to is missing.
     #[error("part {0} of the configuration is missing")]
     MissingPart(String),
 }
 
-/// A value to be stored.
+/// A value to store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Part {
     /// Its key.
@@ -57,7 +57,7 @@
     pub value: Vec<u8>,
 }
 
-/// A configuration ready to be stored.
+/// A configuration in its stored form.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Encoded {
     /// Parts to write before the head, empty for a small fleet.
@@ -68,7 +68,7 @@
 
 #[derive(serde::Serialize, serde::Deserialize)]
 struct Head {
-    /// Differs in each write, so that a writer can tell its own value from another's.
+    /// Unique for each write, so that a writer can recognise its own value.
     nonce: String,
     fleet: Fleet,
     /// Names of the index parts.
@@ -83,12 +83,15 @@
     callers: IndexMap<CallerId, Caller>,
 }
 
-/// Prepares a configuration for the store; `nonce` must never have been used before.
+/// Encodes a configuration for the store; `nonce` must never have been used before.
 pub fn encode(fleet: &Fleet, nonce: &str) -> Result<Encoded, DocumentError> {
-    let whole = encode_head(fleet.clone(), nonce, Vec::new())?;
-    if whole.len() <= SINGLE_VALUE_LIMIT {
+    let single = encode_head(fleet.clone(), nonce, Vec::new())?;
+    if single.len() <= SINGLE_VALUE_LIMIT {
         let parts = Vec::new();
-        return Ok(Encoded { parts, head: whole });
+        return Ok(Encoded {
+            parts,
+            head: single,
+        });
     }
     let mut rest = fleet.clone();
     let leaves = split(&mut rest);
@@ -115,11 +118,11 @@
     Ok(serde_json::to_vec(&head)?)
 }
 
-/// Moves groups and callers into leaves chosen by the hash of their names, so that a
+/// Moves groups and callers into leaves selected by the hash of their names, so that a
 /// change of one entry changes one leaf.
 fn split(fleet: &mut Fleet) -> Vec<Leaf> {
     let entries = fleet.groups.len() + fleet.callers.len();
-    // A power of two, so that a growing fleet is seldom split anew.
+    // A power of two, so that a growing fleet is rarely redistributed.
     let n = (entries / LEAF_ENTRIES + 1).next_power_of_two() / 2;
     let n = n.max(1);
     let mut leaves: Vec<Leaf> = Vec::new();
@@ -147,12 +150,12 @@
     name
 }
 
-/// Keys of all parts that a head refers to, as far as the parts at hand tell.
+/// Keys of all parts that a head refers to, as far as the available parts show.
 pub fn referenced_keys<'a>(
     head: &[u8],
     part: impl Fn(&str) -> Option<&'a [u8]>,
 ) -> Result<Vec<String>, DocumentError> {
-    let Some(head) = read_head(head)? else {
+    let Some(head) = decode_head(head)? else {
         return Ok(Vec::new());
     };
     let mut keys = Vec::new();
@@ -167,9 +170,9 @@
     Ok(keys)
 }
 
-/// Reads a stored configuration; `part` returns a part's value by its key.
+/// Decodes a stored configuration; `part` returns a part's value by its key.
 ///
-/// A head may also be a bare configuration, as an operator's script would write it.
+/// A head may also be a plain configuration, for example one written by an operator's script.
 pub fn decode<'a>(
     head: &[u8],
     part: impl Fn(&str) -> Option<&'a [u8]>,
@@ -177,48 +180,48 @@
     Decoder::default().decode(head, part)
 }
 
-/// Reads one stored configuration after the other, and of each only the leaves that the
-/// one before did not have.
+/// Decodes successive configurations; of each, it decodes only the leaves that the previous
+/// one did not contain.
 ///
-/// Load: 37,000 changes a day of a fleet with 33,000 groups. Harm: reading all of it each
-/// time would take every proxy a fourteenth of a core.
+/// A fleet with 33,000 groups changes 37,000 times a day. Decoding all of it each time would
+/// cost every proxy a fourteenth of a core.
 #[derive(Clone, Debug, Default)]
 pub struct Decoder {
-    /// The leaves of the last configuration by name, with what they hold.
-    leaves: IndexMap<String, Names>,
+    /// Leaves of the last configuration by name, with the entries of each.
+    leaves: IndexMap<String, LeafEntries>,
     groups: IndexMap<GroupId, Group>,
     callers: IndexMap<CallerId, Caller>,
 }
 
-/// What a leaf holds.
+/// Entries of a leaf.
 #[derive(Clone, Debug)]
-struct Names {
+struct LeafEntries {
     groups: Vec<GroupId>,
     callers: Vec<CallerId>,
 }
 
 impl Decoder {
-    /// Reads a stored configuration; after an error the next one is read as usual.
+    /// Decodes a stored configuration; an error does not affect the decoding of the next one.
     pub fn decode<'a>(
         &mut self,
         head: &[u8],
         part: impl Fn(&str) -> Option<&'a [u8]>,
     ) -> Result<Fleet, DocumentError> {
-        let Some(head) = read_head(head)? else {
+        let Some(head) = decode_head(head)? else {
             return Ok(serde_json::from_slice(head)?);
         };
-        let find = |name: &String| {
+        let get_part = |name: &String| {
             let key = format!("{PARTS}{name}");
             part(&key).ok_or_else(|| DocumentError::MissingPart(name.clone()))
         };
         let mut names = indexmap::IndexSet::new();
         for name in &head.index {
-            let listed: Vec<String> = serde_json::from_slice(find(name)?)?;
+            let listed: Vec<String> = serde_json::from_slice(get_part(name)?)?;
             names.extend(listed);
         }
         let mut new = Vec::new();
         for name in names.iter().filter(|name| !self.leaves.contains_key(*name)) {
-            let leaf: Leaf = serde_json::from_slice(find(name)?)?;
+            let leaf: Leaf = serde_json::from_slice(get_part(name)?)?;
             new.push((name.clone(), leaf));
         }
         self.replace(&names, new);
@@ -228,34 +231,34 @@
         Ok(fleet)
     }
 
-    /// Old leaves go before new ones come, since an entry that changed is in both.
+    /// Removes the old leaves before it adds the new ones, since a changed entry is in both.
     fn replace(&mut self, names: &indexmap::IndexSet<String>, new: Vec<(String, Leaf)>) {
         let (groups, callers) = (&mut self.groups, &mut self.callers);
-        self.leaves.retain(|name, held| {
+        self.leaves.retain(|name, entries| {
             let keep = names.contains(name);
             if !keep {
-                for id in &held.groups {
+                for id in &entries.groups {
                     groups.swap_remove(id);
                 }
-                for id in &held.callers {
+                for id in &entries.callers {
                     callers.swap_remove(id);
                 }
             }
             keep
         });
         for (name, leaf) in new {
-            let held = Names {
+            let entries = LeafEntries {
                 groups: leaf.groups.keys().cloned().collect(),
                 callers: leaf.callers.keys().cloned().collect(),
             };
-            self.leaves.insert(name, held);
+            self.leaves.insert(name, entries);
             self.groups.extend(leaf.groups);
             self.callers.extend(leaf.callers);
         }
     }
 }
 
-fn read_head(head: &[u8]) -> Result<Option<Head>, DocumentError> {
+fn decode_head(head: &[u8]) -> Result<Option<Head>, DocumentError> {
     let value: serde_json::Value = serde_json::from_slice(head)?;
     if value.get("nonce").is_none() {
         return Ok(None);
--- a/crates/model/src/entry.rs
+++ b/crates/model/src/entry.rs
@@ -1,27 +1,27 @@
-//! What instances announce of themselves.
+//! Entries in the store by which instances announce themselves.
 
 use std::net::SocketAddr;
 
 use crate::id::{DataCentre, GroupId, InstanceId};
 
-/// An instance's announcement.
+/// Entry of one instance.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
-    /// Who announces.
+    /// Its id.
     pub id: InstanceId,
-    /// The group that it belongs to.
+    /// Group that it belongs to.
     pub group: GroupId,
-    /// Where it takes connections.
+    /// Address at which it accepts connections.
     pub address: SocketAddr,
-    /// Where it runs.
+    /// Data centre in which it runs.
     pub data_centre: DataCentre,
-    /// Statements that it works on at once.
+    /// Statements that it runs concurrently.
     pub slots: u32,
-    /// Whether it is being taken out of service.
+    /// Whether it is being decommissioned.
     pub leaving: bool,
-    /// Whether it takes itself for the primary, which may be out of date.
+    /// Whether it reports to be the primary; this may be out of date.
     pub claims_primary: bool,
-    /// Start of the process, in Unix milliseconds by its own clock; a restarted instance
-    /// keeps its id and has another one, and knows nothing of before.
+    /// Start of the process, in Unix milliseconds by its own clock. A restarted instance
+    /// keeps its id, has another start time and has lost its earlier state.
     pub started_at: u64,
 }
--- a/crates/model/src/hash.rs
+++ b/crates/model/src/hash.rs
@@ -1,12 +1,12 @@
-//! Hashes that are equal in every build and on every machine.
+//! Hashes that are the same in every build and on every machine.
 
 const BASIS: u64 = 0xcbf2_9ce4_8422_2325;
 const PRIME: u64 = 0x0100_0000_01b3;
 const MIX: u64 = 0xff51_afd7_ed55_8ccd;
 
-/// Hashes a list of texts: FNV-1a with a finishing step that spreads the last bytes over
-/// the whole word. The standard hasher differs between processes, and a ranking that
-/// every proxy must compute alike cannot use it.
+/// Hashes a list of texts: FNV-1a with a final mixing step that spreads the last bytes over
+/// the whole word. Every proxy must compute the same ranking from these hashes, and the
+/// standard hasher differs between processes.
 pub fn of<'a>(parts: impl IntoIterator<Item = &'a str>) -> u64 {
     let mut hash = BASIS;
     for part in parts {
--- a/crates/model/src/id.rs
+++ b/crates/model/src/id.rs
@@ -1,11 +1,11 @@
-//! Identifiers of the things that operators name.
+//! Identifiers that operators choose.
 
 use crate::macros;
 
-/// Longest identifier, in bytes; it must fit a PostgreSQL name.
+/// Maximum length of an identifier, in bytes; it must fit into a PostgreSQL identifier.
 pub const MAX_LEN: usize = 63;
 
-/// Why a text is not an identifier.
+/// The text is not an identifier.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum IdError {
     /// The text has no characters.
@@ -14,8 +14,8 @@
     /// The text is longer than [`MAX_LEN`] bytes.
     #[error("an identifier has at most {MAX_LEN} bytes, this one has {0}")]
     TooLong(usize),
-    /// The text holds a character outside `a-z`, `0-9`, `-`, `_` and `.`.
-    #[error("an identifier holds only a-z, 0-9, '-', '_' and '.', not {0:?}")]
+    /// The text contains a character other than `a-z`, `0-9`, `-`, `_` and `.`.
+    #[error("an identifier contains only a-z, 0-9, '-', '_' and '.', not {0:?}")]
     Character(char),
 }
 
@@ -54,7 +54,7 @@
     DataCentre
 }
 macros::text_id! {
-    /// A region: data centres joined by fast links.
+    /// A region: data centres connected by fast links.
     Region
 }
 macros::text_id! {
@@ -62,6 +62,6 @@
     Class
 }
 macros::text_id! {
-    /// A database as callers name it; routes lead from it to a group.
+    /// A database name used by callers; a route maps it to a group.
     Database
 }
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -1,7 +1,7 @@
-//! Vocabulary of the fleet: identifiers, units, log positions, session tokens
-//! and the fleet configuration with its checks.
+//! Common types of the fleet: identifiers, units, log positions, session tokens, and the
+//! fleet configuration with its checks.
 //!
-//! Nothing here performs input or output, and nothing here reads a clock.
+//! This crate performs no input or output and reads no clock.
 
 mod macros;
 
--- a/crates/model/src/location.rs
+++ b/crates/model/src/location.rs
@@ -1,31 +1,31 @@
-//! Where a process or a backend server runs, and how near two places are.
+//! Locations of processes and backend servers, and distances between them.
 
 use crate::id;
 
-/// A data centre together with its region.
+/// A data centre with its region.
 #[derive(
     Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, serde::Serialize, serde::Deserialize,
 )]
 pub struct Location {
-    /// The region that holds the data centre.
+    /// The region of the data centre.
     pub region: id::Region,
     /// The data centre.
     pub data_centre: id::DataCentre,
 }
 
-/// Distance between two places, nearest first.
+/// Distance between two locations, nearest first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Distance {
-    /// Both are in one data centre.
+    /// Both are in the same data centre.
     SameDataCentre,
-    /// Both are in one region.
+    /// They are in different data centres of the same region.
     SameRegion,
-    /// They are in different regions, joined by a slow link with a price per byte.
+    /// They are in different regions, connected by a slow link that is billed per byte.
     OtherRegion,
 }
 
 impl Location {
-    /// How far away `other` is.
+    /// Distance to `other`.
     pub fn distance(&self, other: &Self) -> Distance {
         if self.region != other.region {
             Distance::OtherRegion
--- a/crates/model/src/macros.rs
+++ b/crates/model/src/macros.rs
@@ -1,6 +1,6 @@
-//! Macros for the derives that value types share.
+//! Macros for value types with common derives.
 
-/// Declares a value type with the common set of derives.
+/// Declares a value type with the common derives.
 macro_rules! value {
     ($(#[$meta:meta])* $vis:vis struct $($rest:tt)*) => {
         #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -20,7 +20,7 @@
         }
 
         impl $name {
-            /// The identifier as text.
+            /// Text of the identifier.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -54,7 +54,7 @@
         }
 
         impl $name {
-            /// The number that follows this one.
+            /// The next number.
             #[must_use]
             pub const fn next(self) -> Self {
                 Self(self.0 + 1)
--- a/crates/model/src/position.rs
+++ b/crates/model/src/position.rs
@@ -5,26 +5,26 @@
 use crate::macros;
 
 macros::number! {
-    /// The reign of one primary; each promotion takes a higher one.
+    /// Number of the period in which one primary leads; each promotion takes a higher one.
     Term
 }
 macros::number! {
-    /// A place in a group's log, counted in committed records.
+    /// Position in a group's log, counted in committed records.
     Position
 }
 macros::number! {
-    /// Revision of the configuration: the store's modification revision.
+    /// Revision of the configuration: the modification revision of its key in the store.
     Revision
 }
 
-/// Why a text is not a point or a history.
+/// The text is not a point or a history.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("expected TERM:POSITION, found {0:?}")]
 pub struct PointError(pub String);
 
-/// A log position under the term that wrote it.
+/// A log position with the term that wrote it.
 ///
-/// Points order by term first: a later term never has an earlier point.
+/// Points are ordered by term first: a point of a later term is never the earlier one.
 #[derive(
     Clone,
     Copy,
@@ -46,7 +46,7 @@
 }
 
 impl Point {
-    /// Makes a point from plain numbers.
+    /// Creates a point from plain numbers.
     pub const fn new(term: u64, position: u64) -> Self {
         Self {
             term: Term(term),
@@ -65,11 +65,11 @@
     type Err = PointError;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
-        let bad = || PointError(text.to_owned());
-        let (term, position) = text.split_once(':').ok_or_else(bad)?;
+        let invalid = || PointError(text.to_owned());
+        let (term, position) = text.split_once(':').ok_or_else(invalid)?;
         Ok(Self {
-            term: term.parse().map_err(|_| bad())?,
-            position: position.parse().map_err(|_| bad())?,
+            term: term.parse().map_err(|_| invalid())?,
+            position: position.parse().map_err(|_| invalid())?,
         })
     }
 }
@@ -79,23 +79,23 @@
 pub enum Coverage {
     /// The record is in the log.
     Held,
-    /// The log is too short so far; it may hold the record later.
+    /// The log is still too short; it may receive the record later.
     NotYet,
-    /// The log went another way: the record was lost in a promotion.
+    /// The log diverged before the record: a promotion discarded it.
     Forked,
 }
 
-/// The terms that wrote a log, each with the last position before it began.
+/// Terms that wrote a log, each with the last position before its start.
 ///
 /// Invariant: terms and start positions ascend; the first start is 0.
 #[derive(Clone, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct History {
-    /// `Point { term, position }` means: `term` began after `position`.
+    /// `Point { term, position }` means that `term` starts after `position`.
     starts: Vec<Point>,
 }
 
 impl History {
-    /// A history with the given beginnings; `None` when they do not ascend.
+    /// Creates a history from the starts of its terms; `None` if they do not ascend.
     pub fn new(starts: Vec<Point>) -> Option<Self> {
         let ascending = starts
             .windows(2)
@@ -103,7 +103,7 @@
         ascending.then_some(Self { starts })
     }
 
-    /// The beginnings of the terms, oldest first.
+    /// Starts of the terms, oldest first.
     pub fn starts(&self) -> &[Point] {
         &self.starts
     }
@@ -113,14 +113,14 @@
         self.starts.last().map_or(Term(0), |p| p.term)
     }
 
-    /// Adds a term that begins after `position`; a term that is not newer is ignored.
+    /// Adds a term that starts after `position`; ignores a term that is not newer.
     pub fn begin(&mut self, term: Term, position: Position) {
         if term > self.term() {
             self.starts.push(Point { term, position });
         }
     }
 
-    /// Whether a log with this history, filled up to `end`, holds `point`.
+    /// Whether a log with this history that ends at `end` holds `point`.
     pub fn covers(&self, point: Point, end: Position) -> Coverage {
         if point.position.0 == 0 {
             return Coverage::Held;
@@ -128,15 +128,15 @@
         if point.term > self.term() {
             return Coverage::NotYet;
         }
-        let at = self.starts.iter().position(|s| s.term == point.term);
-        let Some(at) = at else {
+        let index = self.starts.iter().position(|s| s.term == point.term);
+        let Some(index) = index else {
             return Coverage::Forked;
         };
-        let lost = self
+        let discarded = self
             .starts
-            .get(at + 1)
+            .get(index + 1)
             .is_some_and(|next| point.position > next.position);
-        match (lost, point.position <= end) {
+        match (discarded, point.position <= end) {
             (true, _) => Coverage::Forked,
             (false, true) => Coverage::Held,
             (false, false) => Coverage::NotYet,
@@ -146,8 +146,8 @@
 
 impl fmt::Display for History {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (at, start) in self.starts.iter().enumerate() {
-            if at > 0 {
+        for (index, start) in self.starts.iter().enumerate() {
+            if index > 0 {
                 f.write_str(",")?;
             }
             write!(f, "{start}")?;
--- a/crates/model/src/route.rs
+++ b/crates/model/src/route.rs
@@ -1,56 +1,56 @@
-//! Routes from databases to groups, as the operators declare them.
+//! Routes from databases to groups, as the operators configure them.
 
 use indexmap::IndexMap;
 
 use crate::id::{Database, GroupId};
 use crate::unit::Span;
 
-/// What a session may rely on when it reads.
+/// Writes that the reads of a session are guaranteed to see.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, serde::Serialize, serde::Deserialize)]
 pub enum Guarantee {
-    /// Every write acknowledged to anyone.
+    /// Every acknowledged write of any session.
     Newest,
-    /// Every write that was acknowledged longer ago than the span.
+    /// Every write that was acknowledged longer than this duration ago.
     Bounded(Span),
     /// The same, and every write of the session itself.
     OwnWrites(Span),
 }
 
-/// Where the statements of a database go, and within which limits.
+/// Group that runs the statements of a database, with their limits.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Route {
     /// The group that holds the database.
     pub group: GroupId,
-    /// What reads rely on.
+    /// Guarantee for reads.
     pub guarantee: Guarantee,
-    /// Longest time that one statement may take.
+    /// Time limit of one statement.
     pub time_limit: Span,
-    /// Time within which callers want a whole operation answered.
+    /// Time within which callers expect a whole operation to complete.
     pub objective: Span,
-    /// Rank under load; 0 goes first.
+    /// Priority under load; 0 is the highest.
     pub priority: u8,
 }
 
-/// What holds for all instances of a group.
+/// Limits that apply to all instances of a group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct GroupLimits {
     /// Connections that one instance accepts from all proxies together.
     pub connections: u32,
-    /// Replicas that hold a write before it is acknowledged.
+    /// Replicas that must hold a write before it is acknowledged.
     pub sync_replicas: u32,
 }
 
 /// One version of the operators' configuration.
 ///
-/// Invariant: `routes` leads only to groups in `groups`.
+/// Invariant: `routes` refers only to groups in `groups`.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Routes {
-    /// Version that the operators gave it; it only rises.
+    /// Version number set by the operators; it only increases.
     pub version: u64,
     /// Routes by database.
     pub routes: IndexMap<Database, Route>,
-    /// Groups with their limits.
+    /// Limits of the groups.
     pub groups: IndexMap<GroupId, GroupLimits>,
-    /// Time after which an open transaction without a statement may be ended.
+    /// Time without a statement after which an open transaction may be ended.
     pub idle_transaction: Span,
 }
--- a/crates/model/src/settings.rs
+++ b/crates/model/src/settings.rs
@@ -1,4 +1,4 @@
-//! The fleet's tunable settings: one set of defaults, and patches for exceptions.
+//! Settings of the fleet: one set of defaults, and patches for exceptions.
 
 use crate::unit::{Size, Span};
 
@@ -16,33 +16,34 @@
 )]
 #[serde(rename_all = "kebab-case")]
 pub enum Acknowledge {
-    /// Once a majority of the group holds it under one term. Nothing acknowledged is ever lost.
+    /// Once a majority of the group holds it under one term. No acknowledged write is lost.
     Majority,
-    /// Once the primary holds it. A promotion may lose it; needs a reasoned exception.
+    /// Once the primary holds it. A promotion may discard it, so this needs an exception with
+    /// a reason.
     Primary,
 }
 
-/// SQL that asks a backend server about its replication state and changes it.
+/// SQL statements that query and change the replication state of a backend server.
 ///
 /// `$term`, `$position`, `$timeout_ms` and `$address` are replaced by plain values.
-/// Every statement but `point` answers one row with the columns of `status`:
+/// Every statement but `point` returns one row with the columns of `status`:
 /// `role` (`primary` or `replica`), `fenced` (highest term promised), `history`
-/// (`TERM:START,…`), `received`, `applied`, `heard_ms` (time since the primary was heard).
-/// `point` answers one column, the `TERM:POSITION` of the log's end.
+/// (`TERM:START,…`), `received`, `applied`, `heard_ms` (time since the last contact with the
+/// primary). `point` returns one column, the `TERM:POSITION` of the log's end.
 #[derive(
     Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize, schemars::JsonSchema,
 )]
 #[serde(deny_unknown_fields, default)]
 pub struct Profile {
-    /// Asks for the status row.
+    /// Returns the status row.
     pub status: String,
-    /// Answers the status row once `received` reaches `$position`, or after `$timeout_ms`.
+    /// Returns the status row once `received` reaches `$position`, or after `$timeout_ms`.
     pub wait: String,
-    /// Asks for the point of the last commit.
+    /// Returns the point of the last commit.
     pub point: String,
-    /// Promises `$term`: nothing of an older term is accepted from then on.
+    /// Promises `$term`: from then on the server accepts nothing of an older term.
     pub fence: String,
-    /// Makes the server the primary of `$term`, to which it must be fenced.
+    /// Makes the server the primary of `$term`, which it must have promised before.
     pub promote: String,
     /// Makes the server a replica, under `$term`, of the server at `$address`.
     pub follow: String,
@@ -63,7 +64,7 @@
 
 macro_rules! settings {
     ($($(#[$meta:meta])* $name:ident: $type:ty = $default:expr,)+) => {
-        /// Every setting with its value in force.
+        /// All settings with their effective values.
         #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize, schemars::JsonSchema)]
         #[serde(deny_unknown_fields, default)]
         pub struct Settings {
@@ -76,7 +77,7 @@
             }
         }
 
-        /// The settings that one exception changes.
+        /// Settings that one exception changes.
         #[derive(Clone, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize, schemars::JsonSchema)]
         #[serde(deny_unknown_fields, default)]
         pub struct Patch {
@@ -84,7 +85,7 @@
         }
 
         impl Patch {
-            /// Overwrites in `settings` what the patch sets.
+            /// Overwrites the settings that the patch sets.
             pub fn apply(&self, settings: &mut Settings) {
                 $(if let Some(value) = &self.$name {
                     settings.$name = value.clone();
@@ -100,33 +101,36 @@
 }
 
 settings! {
-    /// Statements that a backend server works on at once.
+    /// Statements that a backend server runs concurrently.
     slots: u32 = 3,
-    /// Connections that a backend server accepts from the whole fleet.
+    /// Connections that a backend server accepts from all proxies together.
     connections: u32 = 20,
-    /// Most proxies that are ever alive at once, replacements included. Each one's
-    /// guaranteed connections follow from it.
+    /// Maximum number of proxies that run at the same time, replacements included. The
+    /// guaranteed connections of each proxy are derived from it.
     proxies: u32 = 9,
     /// When a write is acknowledged.
     acknowledge: Acknowledge = Acknowledge::Majority,
-    /// Longest time a request may take when the caller states no deadline.
+    /// Time limit of a request for which the caller sets no deadline.
     deadline: Span = Span::from_millis(10_000),
-    /// Longest time a transaction may stay open.
+    /// Maximum duration of a transaction.
     transaction_limit: Span = Span::from_millis(60_000),
-    /// Longest time a transaction may wait for its caller's next statement.
+    /// Maximum time for which a transaction waits for its caller's next statement.
     transaction_idle: Span = Span::from_millis(10_000),
     /// Time without any progress after which a backend connection is probed.
     progress: Span = Span::from_millis(1_000),
-    /// Time without an answer from a primary, by fresh connections, before it is replaced.
+    /// Time without a response from a primary, also on new connections, after which it is
+    /// replaced.
     suspect_after: Span = Span::from_millis(400),
-    /// Longest time a read waits for a replica to catch up before it goes elsewhere.
+    /// Maximum time for which a read waits for a replica to catch up before it is sent to the
+    /// primary or another region.
     read_wait: Span = Span::from_millis(20),
-    /// Requests of one group that a proxy keeps queued.
+    /// Maximum number of requests to one group that a proxy queues.
     queue: u32 = 2_000,
-    /// Most bytes of one answer that a proxy keeps in memory.
+    /// Maximum size of one response that a proxy buffers in memory.
     answer_buffer: Size = Size::from_bytes(256 << 10),
-    /// Validity of a lent connection, after which its borrower must have closed it.
+    /// Duration of a connection loan, after which the borrower must have closed the
+    /// connection.
     loan: Span = Span::from_millis(6_000),
-    /// How backend servers are asked about replication.
+    /// SQL statements for the replication of backend servers.
     profile: Profile = Profile::default(),
 }
--- a/crates/model/src/source.rs
+++ b/crates/model/src/source.rs
@@ -1,4 +1,4 @@
-//! Settings files: reading them, and pointing at what is wrong in them.
+//! Parses settings files and locates errors in them.
 
 use std::fmt;
 use std::sync::Arc;
@@ -10,35 +10,35 @@
 
 use crate::config::{Finding, Problem};
 
-/// A file of JSON with comments.
+/// A file in JSON with comments.
 #[derive(Clone, Debug)]
 pub struct Source {
     name: String,
     text: Arc<str>,
 }
 
-/// What is wrong at a place of a file.
+/// An error in a settings file.
 #[derive(Debug, thiserror::Error)]
 pub enum SourceError {
     /// The text is not JSON with comments.
     #[error("{}", .0.kind())]
     Syntax(ParseError),
-    /// A key is unknown or missing, or a value has the wrong form.
+    /// A key is unknown or missing, or a value has the wrong format.
     #[error("{0}")]
     Schema(serde_json::Error),
-    /// The values contradict each other or the rules of the fleet.
+    /// The values contradict each other or violate a rule of the fleet.
     #[error("{0}")]
     Rule(Problem),
 }
 
 impl SourceError {
-    /// What an operator can do about it.
+    /// How an operator can fix it.
     pub fn hint(&self) -> &'static str {
         match self {
-            Self::Syntax(_) => "correct the JSON at this place",
+            Self::Syntax(_) => "correct the JSON syntax here",
             Self::Schema(e) if is_unknown_key(e) => "correct the name of the key, or remove it",
             Self::Schema(e) if e.to_string().starts_with("missing field") => "add the missing key",
-            Self::Schema(_) => "write the value in the expected form",
+            Self::Schema(_) => "write the value in the expected format",
             Self::Rule(problem) => problem.hint(),
         }
     }
@@ -48,10 +48,10 @@
     e.to_string().starts_with("unknown field")
 }
 
-/// A fault with its place; `miette` prints file, line, column and the mend.
+/// An error with its location; `miette` prints the file, line, column and hint.
 #[derive(Debug)]
 pub struct LocatedError {
-    /// What is wrong.
+    /// The error.
     pub error: SourceError,
     /// Line, counted from 1.
     pub line: usize,
@@ -85,7 +85,7 @@
 }
 
 impl Source {
-    /// The text of a file; `name` is shown in messages.
+    /// Creates a source from the text of a file; `name` is shown in messages.
     pub fn new(name: impl Into<String>, text: impl Into<Arc<str>>) -> Self {
         Self {
             name: name.into(),
@@ -93,34 +93,35 @@
         }
     }
 
-    /// The text.
+    /// Text of the file.
     pub fn text(&self) -> &str {
         &self.text
     }
 
-    /// Reads the text as a typed document.
+    /// Parses the text into a typed document.
     pub fn parse<T: serde::de::DeserializeOwned>(&self) -> Result<T, Box<LocatedError>> {
         let options = jsonc_parser::ParseOptions::default();
         let value: serde_json::Value = jsonc_parser::parse_to_serde_value(&self.text, &options)
-            .map_err(|e| self.at((e.range().start, e.range().end), SourceError::Syntax(e)))?;
+            .map_err(|e| self.located((e.range().start, e.range().end), SourceError::Syntax(e)))?;
         serde_path_to_error::deserialize(value).map_err(|e| {
             let path: Vec<_> = e.path().iter().filter_map(segment).collect();
             let cause = e.into_inner();
-            let name_only = is_unknown_key(&cause);
-            let span = self.find(&path, name_only);
-            Box::new(self.at(span, SourceError::Schema(cause)))
+            let key_only = is_unknown_key(&cause);
+            let span = self.find(&path, key_only);
+            Box::new(self.located(span, SourceError::Schema(cause)))
         })
     }
 
-    /// Puts a finding at its place in the text.
+    /// Locates a finding in the text.
     pub fn locate(&self, finding: Finding) -> LocatedError {
         let span = self.find(&finding.path, false);
-        self.at(span, SourceError::Rule(finding.problem))
+        self.located(span, SourceError::Rule(finding.problem))
     }
 
-    fn at(&self, (start, end): (usize, usize), error: SourceError) -> LocatedError {
+    /// Adds the location of a byte range to an error.
+    fn located(&self, (start, end): (usize, usize), error: SourceError) -> LocatedError {
         let before = &self.text[..start.min(self.text.len())];
-        let line_start = before.rfind('\n').map_or(0, |at| at + 1);
+        let line_start = before.rfind('\n').map_or(0, |i| i + 1);
         LocatedError {
             error,
             line: before.matches('\n').count() + 1,
@@ -130,10 +131,11 @@
         }
     }
 
-    /// The bytes of the value at `path`, or of the nearest enclosing one that exists.
+    /// Byte range of the value at `path`, or of the nearest enclosing value that exists.
     ///
-    /// Objects and lists may cover pages, so of these only the key is given.
-    fn find(&self, path: &[String], name_only: bool) -> (usize, usize) {
+    /// An object or list may span many lines, so the range covers only its key, or its first
+    /// character if it has no key.
+    fn find(&self, path: &[String], key_only: bool) -> (usize, usize) {
         let options = jsonc_parser::ParseOptions::default();
         let parsed = jsonc_parser::parse_to_ast(&self.text, &Default::default(), &options);
         let root = parsed.ok().and_then(|p| p.value);
@@ -148,7 +150,7 @@
             value = next;
             let container = matches!(value, ast::Value::Object(_) | ast::Value::Array(_));
             span = match key {
-                Some(key) if container || name_only => key,
+                Some(key) if container || key_only => key,
                 _ if container => (value.start(), value.start() + 1),
                 _ => (value.start(), value.end()),
             };
@@ -157,7 +159,7 @@
     }
 }
 
-/// A value inside another, with the place of its key if it has one.
+/// A child value, with the byte range of its key if it has one.
 type Child<'a, 'b> = (Option<(usize, usize)>, &'b ast::Value<'a>);
 
 fn child<'a, 'b>(value: &'b ast::Value<'a>, part: &str) -> Option<Child<'a, 'b>> {
@@ -168,8 +170,8 @@
             Some((Some(key), &property.value))
         }
         ast::Value::Array(list) => {
-            let at: usize = part.parse().ok()?;
-            Some((None, list.elements.get(at)?))
+            let index: usize = part.parse().ok()?;
+            Some((None, list.elements.get(index)?))
         }
         _ => None,
     }
--- a/crates/model/src/statement.rs
+++ b/crates/model/src/statement.rs
@@ -1,11 +1,11 @@
-//! Statements of callers, free of any wire protocol.
+//! Statements of callers, independent of the wire protocol.
 
 use std::sync::Arc;
 
 use crate::macros;
 
 macros::value! {
-    /// Identifies one statement; the caller chooses it, and it is logged and passed on unchanged.
+    /// Identifier of one statement, chosen by the caller; it is logged and forwarded unchanged.
     pub struct StatementId(pub Arc<str>);
 }
 
@@ -15,21 +15,21 @@
     }
 }
 
-/// What a statement does to data.
+/// Effect of a statement on data.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Access {
-    /// It only reads.
+    /// Only reads.
     Read,
-    /// It writes.
+    /// Writes.
     Write,
 }
 
 macros::value! {
-    /// What a prepared statement runs. Equal shapes may share one prepared statement.
+    /// Content of a prepared statement. Equal shapes may share one prepared statement.
     pub struct Shape {
-        /// What it does to data.
+        /// Its effect on data.
         pub access: Access,
-        /// The statement's text, opaque to the proxy.
+        /// Text of the statement, which the proxy does not interpret.
         pub text: Arc<str>,
     }
 }
@@ -39,36 +39,36 @@
 pub enum Statement {
     /// Opens a transaction.
     Begin(Access),
-    /// Ends a transaction and keeps its writes.
+    /// Commits a transaction.
     Commit,
-    /// Ends a transaction and drops its writes.
+    /// Rolls back a transaction.
     Rollback,
-    /// Reads or writes; passed on as it came.
+    /// Reads or writes; forwarded unchanged.
     Run(Access),
-    /// Sets a value of the session.
+    /// Sets a session variable.
     Set {
-        /// Name of the value.
+        /// Name of the variable.
         name: Arc<str>,
-        /// The new value.
+        /// New value.
         value: Arc<str>,
     },
-    /// Prepares a statement under a name of the session.
+    /// Prepares a statement under a name that is local to the session.
     Prepare {
-        /// The session's name for it.
+        /// Its name in the session.
         name: Arc<str>,
-        /// What it runs.
+        /// Its content.
         shape: Shape,
     },
     /// Runs a prepared statement.
     Execute {
-        /// The session's name for it.
+        /// Its name in the session.
         name: Arc<str>,
-        /// What follows the name, passed on as it came.
+        /// Text after the name, forwarded unchanged.
         args: Arc<str>,
     },
-    /// Forgets a prepared statement.
+    /// Deallocates a prepared statement.
     Deallocate {
-        /// The session's name for it.
+        /// Its name in the session.
         name: Arc<str>,
     },
 }
@@ -81,45 +81,45 @@
     Idle,
     /// A transaction is open.
     Open,
-    /// The transaction failed; it can only be ended.
+    /// The transaction failed and can only be ended.
     Failed,
 }
 
-/// Why a statement has no result.
+/// Error code of a statement without a result.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Code {
-    /// Refused for want of capacity; it did not run.
+    /// Rejected for lack of capacity; it did not run.
     Busy,
-    /// Nothing of the transaction is kept.
+    /// The transaction was rolled back.
     Aborted,
-    /// The instance's log is too short; it did not run.
+    /// The instance's log is not fresh enough; it did not run.
     Behind,
-    /// The instance may not write; it did not run.
+    /// The instance accepts no writes; it did not run.
     ReadOnly,
-    /// The instance is not the one that was meant; it did not run.
+    /// The statement reached another instance than the intended one; it did not run.
     WrongInstance,
-    /// The instance has no connection left; it did not run.
+    /// The instance accepts no further connections; it did not run.
     TooManyConnections,
     /// It ran and failed.
     Failed,
-    /// It names no prepared statement; it did not run.
+    /// It refers to an unknown prepared statement; it did not run.
     NotPrepared,
-    /// It ran out of time; it may have run.
+    /// The time limit was exceeded; it may have run.
     Timeout,
-    /// The caller may not connect.
+    /// The caller is not allowed to connect.
     Forbidden,
-    /// No route has this database.
+    /// No route for the database exists.
     NoDatabase,
     /// A message is too large.
     TooLarge,
-    /// It cannot be read, or not in this state of the session.
+    /// It cannot be parsed, or is not allowed in this state of the session.
     Malformed,
-    /// It may have run.
+    /// Outcome unknown; it may have run.
     InDoubt,
 }
 
 impl Code {
-    /// Whether the code promises that nothing of the statement or its transaction is kept.
+    /// Whether the code guarantees that the statement and its transaction had no effect.
     pub const fn guarantees_no_effect(self) -> bool {
         matches!(
             self,
--- a/crates/model/src/token.rs
+++ b/crates/model/src/token.rs
@@ -1,4 +1,5 @@
-//! Session tokens: what a session has written, carried by the caller between proxies.
+//! Session tokens: the points that a session has written, which its caller passes from proxy
+//! to proxy.
 
 use base64::Engine as _;
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
@@ -6,20 +7,20 @@
 
 use crate::{id, position};
 
-/// Most groups that one token may name; it bounds what a proxy decodes.
+/// Maximum number of groups in one token; it limits the work of decoding a token.
 pub const MAX_GROUPS: usize = 64;
 
 const TAG_LEN: usize = 16;
 
 type HmacSha256 = hmac::Hmac<sha2::Sha256>;
 
-/// Why a token is refused.
+/// Reason why a token is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum TokenError {
     /// The text is not a token.
     #[error("the session token is malformed")]
     Malformed,
-    /// The signature does not match: forged, altered, or signed by another fleet.
+    /// The signature does not match: the token is forged, altered, or signed by another fleet.
     #[error("the session token's signature does not match")]
     Signature,
     /// The token was issued to another caller.
@@ -32,7 +33,7 @@
 pub struct Key(Vec<u8>);
 
 impl Key {
-    /// Makes a key from the fleet's secret.
+    /// Creates a key from the fleet's secret.
     pub fn new(secret: &[u8]) -> Self {
         Self(secret.to_vec())
     }
@@ -45,7 +46,7 @@
     }
 }
 
-/// For each group the newest point that the session must be able to read.
+/// The newest point of each group that the session must be able to read.
 ///
 /// Invariant: points only advance.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -54,25 +55,25 @@
 }
 
 impl Session {
-    /// The point that reads of `group` must cover, if the session wrote there.
+    /// The point that reads of `group` must cover, if the session has written to it.
     pub fn point(&self, group: &id::GroupId) -> Option<position::Point> {
         self.points.get(group).copied()
     }
 
-    /// Records a write; an older point than the known one changes nothing.
+    /// Records a write; ignores a point that is older than the known one.
     pub fn advance(&mut self, group: &id::GroupId, point: position::Point) {
         let known = self.points.entry(group.clone()).or_default();
         *known = (*known).max(point);
     }
 
-    /// Takes over every point of `other` that is newer.
+    /// Adopts every point of `other` that is newer.
     pub fn merge(&mut self, other: &Self) {
         for (group, point) in &other.points {
             self.advance(group, *point);
         }
     }
 
-    /// Writes the session as a signed text that only `caller` may present.
+    /// Encodes the session as a signed token that only `caller` may present.
     pub fn encode(&self, caller: &id::CallerId, key: &Key) -> String {
         let mut body = caller.to_string();
         for (group, point) in &self.points {
@@ -84,7 +85,7 @@
         URL_SAFE_NO_PAD.encode(out)
     }
 
-    /// Reads a text made by [`Session::encode`] for the same caller and key.
+    /// Decodes a token made by [`Session::encode`] for the same caller and key.
     pub fn decode(text: &str, caller: &id::CallerId, key: &Key) -> Result<Self, TokenError> {
         let raw = URL_SAFE_NO_PAD
             .decode(text)
@@ -106,8 +107,8 @@
 
     fn parse_points<'a>(parts: impl Iterator<Item = &'a str>) -> Result<Self, TokenError> {
         let mut session = Self::default();
-        for (at, part) in parts.enumerate() {
-            if at >= MAX_GROUPS {
+        for (index, part) in parts.enumerate() {
+            if index >= MAX_GROUPS {
                 return Err(TokenError::Malformed);
             }
             let (group, point) = part.split_once('=').ok_or(TokenError::Malformed)?;
--- a/crates/model/src/unit.rs
+++ b/crates/model/src/unit.rs
@@ -1,21 +1,21 @@
-//! Sizes, rates and spans of time with their units.
+//! Durations, sizes and data rates with units, and times of the monotonic clock.
 
 use std::{fmt, ops, str, time};
 
 use crate::macros;
 
-/// Why a text is not a quantity.
+/// The text is not a quantity.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum UnitError {
-    /// The number before the unit cannot be read.
+    /// The number before the unit cannot be parsed, or is too large.
     #[error("expected a whole number before the unit, found {0:?}")]
     Number(String),
-    /// The unit is missing or not known.
+    /// The unit is missing or unknown.
     #[error("unknown unit {found:?}, expected one of {expected}")]
     Unit {
-        /// The unit that was written.
+        /// The unit in the text.
         found: String,
-        /// The units that are accepted.
+        /// The accepted units.
         expected: &'static str,
     },
 }
@@ -63,7 +63,7 @@
         }
 
         impl fmt::Display for $name {
-            /// Writes the largest unit that divides the quantity.
+            /// Writes the quantity in the largest unit that divides it.
             fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
                 let mut best = ("", 0);
                 for (unit, factor) in [$(($unit, $factor)),+] {
@@ -78,7 +78,7 @@
 }
 
 quantity! {
-    /// A span of time, held in microseconds: `250us`, `5ms`, `10s`, `2min`.
+    /// A duration, stored in microseconds: `250us`, `5ms`, `10s`, `2min`.
     Span, "us, ms, s, min, h", ["us" = 1, "ms" = 1_000, "s" = 1_000_000, "min" = 60_000_000, "h" = 3_600_000_000]
 }
 quantity! {
@@ -91,32 +91,32 @@
 }
 
 impl Span {
-    /// A span of `ms` milliseconds.
+    /// A duration of `ms` milliseconds.
     pub const fn from_millis(ms: u64) -> Self {
         Self(ms * 1_000)
     }
 
-    /// A span of `us` microseconds.
+    /// A duration of `us` microseconds.
     pub const fn from_micros(us: u64) -> Self {
         Self(us)
     }
 
-    /// The span in microseconds.
+    /// The duration in microseconds.
     pub const fn as_micros(self) -> u64 {
         self.0
     }
 
-    /// The span in whole milliseconds, rounded down.
+    /// The duration in whole milliseconds, rounded down.
     pub const fn as_millis(self) -> u64 {
         self.0 / 1_000
     }
 
-    /// The span as the standard library's type.
+    /// The duration as a `std::time::Duration`.
     pub const fn as_duration(self) -> time::Duration {
         time::Duration::from_micros(self.0)
     }
 
-    /// The span `n` times over, saturating.
+    /// `n` times the duration, saturating.
     #[must_use]
     pub const fn times(self, n: u64) -> Self {
         Self(self.0.saturating_mul(n))
@@ -153,9 +153,9 @@
     }
 }
 
-/// A moment on one process's monotonic clock, in microseconds since it started.
+/// A time on the monotonic clock of one process, in microseconds since it started.
 ///
-/// Moments of different processes must not be compared.
+/// Times of different processes must not be compared.
 #[derive(
     Clone,
     Copy,
@@ -172,12 +172,12 @@
 pub struct Time(u64);
 
 impl Time {
-    /// The moment `us` microseconds after the process started.
+    /// The time `us` microseconds after the process started.
     pub const fn from_micros(us: u64) -> Self {
         Self(us)
     }
 
-    /// The moment `ms` milliseconds after the process started.
+    /// The time `ms` milliseconds after the process started.
     pub const fn from_millis(ms: u64) -> Self {
         Self(ms * 1_000)
     }
@@ -187,7 +187,7 @@
         self.0
     }
 
-    /// The span since `earlier`, or zero if that lies ahead.
+    /// The duration since `earlier`, or zero if `earlier` is later.
     pub const fn since(self, earlier: Self) -> Span {
         Span(self.0.saturating_sub(earlier.0))
     }
--- a/crates/model/tests/config.rs
+++ b/crates/model/tests/config.rs
@@ -1,4 +1,4 @@
-//! What a configuration check accepts and refuses.
+//! Which configurations the check accepts and rejects.
 
 use model::config::{self, Fleet, Problem};
 use model::settings::Acknowledge;
@@ -39,11 +39,11 @@
 #[test_case("larger machines since May", "why not", Problem::MissingReason; "reason too short")]
 #[test_case(r#""class": "filing""#, r#""class": "other""#, Problem::UnknownClass("other".parse().unwrap()); "unknown class")]
 #[test_case(r#"["ledger-1"]"#, r#"["ledger-2"]"#, Problem::UnknownGroup("ledger-2".parse().unwrap()); "unknown group")]
-#[test_case("5002", "5001", Problem::SharedAddress("127.0.0.1:5001".parse().unwrap()); "one address twice")]
+#[test_case("5002", "5001", Problem::SharedAddress("127.0.0.1:5001".parse().unwrap()); "shared address")]
 #[test_case(r#""deadline": "5s""#, r#""acknowledge": "primary""#, Problem::WeakDefault; "weak default")]
 #[test_case(r#""slots": 4"#, r#""slots": 40"#, Problem::TooFewConnections { connections: 20, slots: 40 }; "slots above connections")]
 #[test_case(r#""weight": 8"#, r#""weight": 0"#, Problem::Zero; "weight of zero")]
-fn one_problem(from: &str, to: &str, expected: Problem) {
+fn reports_one_problem(from: &str, to: &str, expected: Problem) {
     assert_eq!(problems(from, to), [expected]);
 }
 
@@ -51,7 +51,7 @@
 #[test_case(r#""deadline": "5s""#, r#""deadline": 5"#; "number without unit")]
 #[test_case("127.0.0.1:5001", "localhost:5001"; "name instead of an address")]
 #[test_case(", \"reason\": \"larger machines since May\"", ""; "exception without a reason")]
-fn unreadable(from: &str, to: &str) {
+fn invalid_documents_are_rejected(from: &str, to: &str) {
     let text = GOOD.replace(from, to);
     assert_ne!(text, GOOD, "the replacement must match");
     assert!(config::parse::<Fleet>(&text).is_err());
--- a/crates/model/tests/document.rs
+++ b/crates/model/tests/document.rs
@@ -1,4 +1,4 @@
-//! A stored configuration reads back as it was, whole or in parts.
+//! A configuration is decoded unchanged, stored as one value or in parts.
 
 use std::collections::HashMap;
 
@@ -35,7 +35,7 @@
 
 #[test_case::test_case(9, 0; "one value")]
 #[test_case::test_case(2_000, 1; "in parts")]
-fn a_stored_fleet_reads_back(groups: usize, least: usize) {
+fn a_stored_fleet_is_decoded_unchanged(groups: usize, least: usize) {
     let fleet = fleet(groups);
     let encoded = document::encode(&fleet, "n1").unwrap();
     assert!(encoded.parts.len() >= least && encoded.parts.is_empty() == (least == 0));
@@ -47,14 +47,14 @@
     assert_eq!(keys.len(), encoded.parts.len());
 }
 
-/// A proxy that got the head before its parts would otherwise serve a fleet without
-/// some of its groups, and tell their callers that they do not exist.
+/// A proxy that received the head before its parts would otherwise serve a fleet without
+/// some of its groups, and report to their callers that these do not exist.
 #[test]
 fn a_missing_part_is_an_error() {
     let encoded = document::encode(&fleet(2_000), "n1").unwrap();
     let mut parts = stored(&encoded);
-    let lost = encoded.parts[7].key.clone();
-    parts.remove(&lost);
+    let missing = encoded.parts[7].key.clone();
+    parts.remove(&missing);
     let result = document::decode(&encoded.head, |key| parts.get(key).map(Vec::as_slice));
     assert!(matches!(result, Err(DocumentError::MissingPart(_))));
 }
@@ -73,10 +73,10 @@
     );
 }
 
-/// A proxy reads one configuration after the other and keeps what did not change. A group
-/// that was changed, removed or brought back must not linger in an older form.
+/// A decoder keeps unchanged leaves from one configuration to the next. After a group was
+/// changed, removed or restored, no older version of it may remain.
 #[test]
-fn a_decoder_follows_changes() {
+fn a_decoder_applies_changes() {
     let mut decoder = document::Decoder::default();
     let mut stored_parts = HashMap::new();
     let mut fleet = fleet(2_000);
@@ -99,8 +99,8 @@
 }
 
 #[test]
-fn a_bare_document_is_read_too() {
+fn a_plain_document_is_decoded() {
     let fleet = fleet(3);
-    let bare = serde_json::to_vec(&fleet).unwrap();
-    assert_eq!(document::decode(&bare, |_| None).unwrap(), fleet);
+    let plain = serde_json::to_vec(&fleet).unwrap();
+    assert_eq!(document::decode(&plain, |_| None).unwrap(), fleet);
 }
--- a/crates/model/tests/source.rs
+++ b/crates/model/tests/source.rs
@@ -1,4 +1,4 @@
-//! Faults in settings files point at the right line.
+//! Errors in settings files are reported with the right line.
 
 use model::config::Fleet;
 use model::source::Source;
@@ -28,22 +28,24 @@
 #[test_case("127.0.1.3:5432", "127.0.1.3", 9, "invalid socket address"; "wrong address")]
 #[test_case("\"callers\": {},", "", 1, "missing field `callers`"; "missing key")]
 #[test_case("\"groups\": {", "\"groups\": }", 4, ""; "syntax")]
-fn an_unreadable_file_names_the_line(from: &str, to: &str, line: usize, message: &str) {
+fn a_parse_error_has_its_line(from: &str, to: &str, line: usize, message: &str) {
     let source = Source::new("fleet.jsonc", FLEET.replace(from, to));
-    let located = source.parse::<Fleet>().expect_err("a fault is expected");
+    let located = source.parse::<Fleet>().expect_err("an error is expected");
     assert_eq!(located.line, line, "{located}");
     assert!(located.to_string().contains(message), "{located}");
     assert!(!located.error.hint().is_empty());
 }
 
 #[test]
-fn findings_name_the_line() {
+fn findings_have_their_lines() {
     let source = Source::new("fleet.jsonc", FLEET);
-    let fleet: Fleet = source.parse().expect("the file is readable");
+    let fleet: Fleet = source
+        .parse()
+        .expect("the file is valid JSON of the expected format");
     let findings = fleet.check().into_iter().map(|f| source.locate(f));
-    let places: Vec<_> = findings.map(|l| (l.line, l.to_string())).collect();
+    let locations: Vec<_> = findings.map(|l| (l.line, l.to_string())).collect();
     assert_eq!(
-        places,
+        locations,
         [
             (8, "data centre b is not declared".to_owned()),
             (
--- a/crates/model/tests/token.rs
+++ b/crates/model/tests/token.rs
@@ -1,4 +1,4 @@
-//! Session tokens survive the trip through a caller, and only unaltered.
+//! Session tokens are decoded unchanged; altered and foreign ones are rejected.
 
 use model::id::{CallerId, GroupId};
 use model::position::Point;
@@ -26,7 +26,7 @@
     }
 
     #[test]
-    fn any_altered_byte_is_refused(at in 0_usize..40, with in "[A-Za-z0-9_-]") {
+    fn any_altered_byte_is_rejected(at in 0_usize..40, with in "[A-Za-z0-9_-]") {
         let key = Key::new(b"secret");
         let mut session = Session::default();
         session.advance(&group(1), Point::new(3, 77));
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn another_callers_token_is_refused() {
+fn another_callers_token_is_rejected() {
     let key = Key::new(b"secret");
     let text = Session::default().encode(&caller("broker"), &key);
     let decoded = Session::decode(&text, &caller("auditor"), &key);
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn another_fleets_token_is_refused() {
+fn another_fleets_token_is_rejected() {
     let text = Session::default().encode(&caller("broker"), &Key::new(b"ours"));
     let decoded = Session::decode(&text, &caller("broker"), &Key::new(b"theirs"));
     assert_eq!(decoded, Err(TokenError::Signature));
--- a/crates/model/tests/unit.rs
+++ b/crates/model/tests/unit.rs
@@ -1,4 +1,4 @@
-//! Quantities are written with their units and read back unchanged.
+//! Quantities are parsed with their units, and parse back unchanged from their text.
 
 use model::unit::{Rate, Size, Span, UnitError};
 use proptest::prelude::*;
@@ -8,20 +8,20 @@
 #[test_case("5 ms", 5_000)]
 #[test_case("10s", 10_000_000)]
 #[test_case("2min", 120_000_000)]
-fn spans(text: &str, us: u64) {
+fn parses_spans(text: &str, us: u64) {
     assert_eq!(text.parse(), Ok(Span::from_micros(us)));
 }
 
 #[test_case("10"; "no unit")]
 #[test_case("10 parsecs"; "unknown unit")]
-fn refused_units(text: &str) {
+fn rejects_units(text: &str) {
     assert!(matches!(text.parse::<Span>(), Err(UnitError::Unit { .. })));
 }
 
 #[test_case("ms"; "no number")]
 #[test_case("99999999999999999999s"; "too many digits")]
 #[test_case("9999999999999999h"; "overflow")]
-fn refused_numbers(text: &str) {
+fn rejects_numbers(text: &str) {
     assert!(matches!(text.parse::<Span>(), Err(UnitError::Number(_))));
 }
 
