--- a/crates/policy/src/group/drive.rs
+++ b/crates/policy/src/group/drive.rs
@@ -264,12 +264,12 @@
             let poll = self.polls.entry(member.clone()).or_default();
             let stale = news.is_some_and(|since| poll.needs_query(self.now, since));
             let due = match poll.due(self.now, every) {
-                Due::Nothing if stale => Due::Steady,
+                Due::Nothing if stale => Due::Persistent,
                 due => due,
             };
             match due {
                 Due::Nothing => {}
-                Due::Steady => self.ask(&member, Ask::Status, Channel::Steady),
+                Due::Persistent => self.ask(&member, Ask::Status, Channel::Steady),
                 Due::Fresh => self.ask(&member, Ask::Status, Channel::Fresh),
             }
         }
--- a/crates/policy/src/poll.rs
+++ b/crates/policy/src/poll.rs
@@ -66,8 +66,8 @@
 pub enum Due {
     /// Nothing.
     Nothing,
-    /// A status query on the open connection.
-    Steady,
+    /// A status query on the long-lived connection.
+    Persistent,
     /// A status query on a new connection.
     Fresh,
 }
@@ -75,7 +75,7 @@
 impl Poll {
     /// What is due at `now`, at the given interval.
     ///
-    /// While a query on the open connection is unanswered, the next ones use new
+    /// While a query on the long-lived connection is unanswered, the next ones use new
     /// connections, so that one unresponsive connection does no harm.
     pub fn due(&self, now: Time, interval: Span) -> Due {
         let elapsed = self.last.is_none_or(|at| now.since(at) >= interval);
@@ -88,7 +88,7 @@
             return Due::Nothing;
         }
         match status.iter().map(|o| o.asked).min() {
-            None => Due::Steady,
+            None => Due::Persistent,
             Some(at) if now.since(at) >= DOUBT_AFTER => Due::Fresh,
             Some(_) => Due::Nothing,
         }
