--- a/crates/model/src/document.rs
+++ b/crates/model/src/document.rs
@@ -37,7 +37,7 @@
 /// Bytes of a part's hash that form its name; a collision of 128 bits does not occur.
 const HASH_LEN: usize = 16;
 
-/// A stored configuration cannot be read.
+/// Error from decoding a stored configuration.
 #[derive(Debug, thiserror::Error)]
 pub enum DocumentError {
     /// A value is not JSON of the expected format.
--- a/crates/model/src/entry.rs
+++ b/crates/model/src/entry.rs
@@ -19,9 +19,10 @@
     pub slots: u32,
     /// Whether it is being decommissioned.
     pub leaving: bool,
-    /// Whether it reports to be the primary; this may be out of date.
+    /// Whether it claims to be the primary; the claim may be out of date.
     pub claims_primary: bool,
     /// Start of the process, in Unix milliseconds by its own clock. A restarted instance
-    /// keeps its id, has another start time and has lost its earlier state.
+    /// keeps its id, has another start time, and knows nothing of earlier connections and
+    /// commands.
     pub started_at: u64,
 }
--- a/crates/model/src/id.rs
+++ b/crates/model/src/id.rs
@@ -5,7 +5,7 @@
 /// Maximum length of an identifier, in bytes; it must fit into a PostgreSQL identifier.
 pub const MAX_LEN: usize = 63;
 
-/// The text is not an identifier.
+/// Error from parsing an identifier.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum IdError {
     /// The text has no characters.
--- a/crates/model/src/position.rs
+++ b/crates/model/src/position.rs
@@ -17,7 +17,7 @@
     Revision
 }
 
-/// The text is not a point or a history.
+/// Error from parsing a point or a history.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("expected TERM:POSITION, found {0:?}")]
 pub struct PointError(pub String);
--- a/crates/model/src/settings.rs
+++ b/crates/model/src/settings.rs
@@ -103,7 +103,7 @@
 settings! {
     /// Statements that a backend server runs concurrently.
     slots: u32 = 3,
-    /// Connections that a backend server accepts from all proxies together.
+    /// Connections that a backend server accepts from the whole fleet.
     connections: u32 = 20,
     /// Maximum number of proxies that run at the same time, replacements included. The
     /// guaranteed connections of each proxy are derived from it.
--- a/crates/model/src/trace.rs
+++ b/crates/model/src/trace.rs
@@ -5,7 +5,7 @@
 /// Name of the HTTP header and of the SQL mark that contain a context.
 pub const HEADER: &str = "traceparent";
 
-/// The text is not a trace context.
+/// Error from parsing a trace context.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("expected VERSION-TRACE-SPAN-FLAGS in hexadecimal, found {0:?}")]
 pub struct ContextError(pub String);
--- a/crates/model/src/unit.rs
+++ b/crates/model/src/unit.rs
@@ -4,7 +4,7 @@
 
 use crate::macros;
 
-/// The text is not a quantity.
+/// Error from parsing a quantity.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum UnitError {
     /// The number before the unit cannot be parsed, or is too large.
--- a/crates/policy/src/read.rs
+++ b/crates/policy/src/read.rs
@@ -16,7 +16,7 @@
 use crate::spec::{Member, Spec};
 use crate::status::{Observed, Role};
 
-/// Divisor of the newest latency's weight in the moving average.
+/// Inverse of the weight of the newest latency in the moving average.
 const SMOOTHING: u64 = 8;
 
 /// Cost added to the primary, in microseconds: the time that a write occupies one of its
@@ -27,7 +27,7 @@
 /// Cost added to another region, in microseconds. A response of 1 KB takes 0.3 ms of the
 /// 30 Mbit/s link that all traffic shares, and is billed. 50 ms keep reads within the
 /// region until its instances have more than ten statements queued.
-const FAR_COST: u64 = 50_000;
+const OTHER_REGION_COST: u64 = 50_000;
 
 /// Load of an instance by this proxy's requests.
 #[derive(Clone, Copy, Debug, Default)]
@@ -175,7 +175,7 @@
         let (assumed, surcharge) = match self.location.distance(&member.location) {
             Distance::SameDataCentre => (1_000, 0),
             Distance::SameRegion => (3_000, 0),
-            Distance::OtherRegion => (42_000, FAR_COST),
+            Distance::OtherRegion => (42_000, OTHER_REGION_COST),
         };
         let latency = load.latency.unwrap_or(assumed);
         let slots = u64::from(self.spec.settings.slots.max(1));
@@ -190,8 +190,9 @@
 
     /// Whether a read on the instance has a surcharge: the primary, or one in another region.
     fn is_costly(&self, id: &InstanceId) -> bool {
-        let far = |m: &Member| self.location.distance(&m.location) == Distance::OtherRegion;
-        self.primary == Some(id) || self.spec.members.get(id).is_some_and(far)
+        let other_region =
+            |m: &Member| self.location.distance(&m.location) == Distance::OtherRegion;
+        self.primary == Some(id) || self.spec.members.get(id).is_some_and(other_region)
     }
 
     /// Whether a nearby replica is expected to catch up before the read has waited for as
