--- a/crates/policy/src/failure_detector.rs
+++ b/crates/policy/src/failure_detector.rs
@@ -21,7 +21,7 @@
 pub const PROBE_AFTER: Span = Span::from_millis(100);
 
 /// Age up to which the status of a replica and the report of a peer are used. Both are
-/// renewed every [`crate::poll::DOUBT`] while the primary is suspected, so that three
+/// renewed every [`crate::poll::SUSPECT_INTERVAL`] while the primary is suspected, so that three
 /// rounds may be lost.
 pub const MAX_REPORT_AGE: Span = Span::from_millis(250);
 
--- a/crates/policy/src/group.rs
+++ b/crates/policy/src/group.rs
@@ -24,7 +24,7 @@
     Action, Channel, Command, Event, Peer, PeerReport, QueryId, Recipients, RequestId,
     StoreRequest, Versioned,
 };
-use crate::poll::{Kind, Open, Poll};
+use crate::poll::{Kind, Outstanding, Poll};
 use crate::promote::Attempt;
 use crate::read::Load;
 use crate::spec::{LocalProxy, Spec};
@@ -310,14 +310,14 @@
         let kind = match &command {
             Command::Status => Kind::Status,
             Command::Wait { position, .. } => Kind::Wait(*position),
-            Command::Fence(_) | Command::Promote(_) | Command::Follow { .. } => Kind::Order,
+            Command::Fence(_) | Command::Promote(_) | Command::Follow { .. } => Kind::Command,
         };
         match channel {
             Channel::Fresh => reachability.record_fresh_query(self.now),
             Channel::Persistent if kind == Kind::Status => reachability.record_query(self.now),
             Channel::Persistent => {}
         }
-        let open = Open {
+        let open = Outstanding {
             query,
             asked: self.now,
             kind,
--- a/crates/policy/src/group/responses.rs
+++ b/crates/policy/src/group/responses.rs
@@ -33,7 +33,7 @@
             // A failure does not end the time without a response.
             Err(Failure::Refused) => reachability.record_refusal(open.asked),
             Err(Failure::Broken) => reachability.record_fresh_query(open.asked),
-            Err(Failure::Silent | Failure::ReadOnly | Failure::Protocol) => {}
+            Err(Failure::Timeout | Failure::ReadOnly | Failure::Protocol) => {}
         }
     }
 
--- a/crates/policy/src/group/step.rs
+++ b/crates/policy/src/group/step.rs
@@ -101,7 +101,7 @@
         );
         let reported = self
             .last_report
-            .is_some_and(|at| self.now.since(at) < poll::DOUBT);
+            .is_some_and(|at| self.now.since(at) < poll::SUSPECT_INTERVAL);
         if suspected && !reported {
             self.last_report = Some(self.now);
             self.send_report(Recipients::All, true);
@@ -260,22 +260,22 @@
             .is_some_and(|at| self.now.since(at) < BUSY_PERIOD);
         let unproven = self.unproven_since();
         let every = match (unproven.is_some(), busy, suspected) {
-            (true, ..) => poll::NEWS,
-            (_, true, _) => poll::BUSY,
-            (_, _, true) => poll::DOUBT,
-            _ => poll::IDLE,
+            (true, ..) => poll::WAITING_INTERVAL,
+            (_, true, _) => poll::BUSY_INTERVAL,
+            (_, _, true) => poll::SUSPECT_INTERVAL,
+            _ => poll::IDLE_INTERVAL,
         };
         let members: Vec<_> = self.spec.members.keys().cloned().collect();
         for member in members {
             let poll = self.polls.entry(member.clone()).or_default();
-            let stale = unproven.is_some_and(|since| poll.stale(self.now, since));
+            let stale = unproven.is_some_and(|since| poll.needs_query(self.now, since));
             let due = match poll.due(self.now, every) {
-                Due::Nothing if stale => Due::Steady,
+                Due::Nothing if stale => Due::Persistent,
                 due => due,
             };
             match due {
                 Due::Nothing => {}
-                Due::Steady => self.send_command(&member, Command::Status, Channel::Persistent),
+                Due::Persistent => self.send_command(&member, Command::Status, Channel::Persistent),
                 Due::Fresh => self.send_command(&member, Command::Status, Channel::Fresh),
             }
         }
@@ -292,7 +292,7 @@
         self.emit_confirmed(outcomes);
         let members: Vec<_> = self.spec.members.keys().cloned().collect();
         for member in members {
-            let after = self.polls.get(&member).map(|p| p.waited());
+            let after = self.polls.get(&member).map(|p| p.awaited_position());
             let position = self
                 .confirmations
                 .next_wait(&member, after.unwrap_or_default());
--- a/crates/policy/src/group/waiting.rs
+++ b/crates/policy/src/group/waiting.rs
@@ -13,8 +13,8 @@
 use super::Group;
 use crate::failure_detector::{PROBE_AFTER, Verdict};
 use crate::message::{Action, RequestId};
-use crate::read::{Choice, Pick};
-use crate::route::{Failure, ReadNeed, Refusal, Target};
+use crate::read::{Selection, Selector};
+use crate::route::{Failure, ReadNeed, RouteError, Target};
 use crate::status::Role;
 
 /// Longest time that a request waits for a primary or a fresh instance. A change of primary
@@ -76,7 +76,7 @@
     pub(super) fn enqueue(&mut self, waiting: Waiting) {
         self.last_request = Some(self.now);
         if self.waiting.len() >= self.spec.settings.queue as usize {
-            let result = Err(Refusal::Crowded { retry: RETRY });
+            let result = Err(RouteError::QueueFull { retry: RETRY });
             let request = waiting.request;
             self.actions.push(Action::Routed { request, result });
             return;
@@ -100,7 +100,7 @@
         }
     }
 
-    fn route(&self, waiting: &Waiting) -> Option<Result<Target, Refusal>> {
+    fn route(&self, waiting: &Waiting) -> Option<Result<Target, RouteError>> {
         let result = match waiting.access {
             Access::Write(point) => self.route_write(point),
             Access::Read(need) => self.route_read(need, waiting.arrived),
@@ -108,17 +108,19 @@
         let waited = self.now.since(waiting.arrived);
         let expired = self.now >= waiting.deadline || waited >= MAX_WAIT;
         match (result, waiting.access) {
-            (None, Access::Write(_)) if expired => Some(Err(Refusal::NoPrimary { retry: RETRY })),
-            (None, Access::Read(_)) if expired => Some(Err(Refusal::NoneFresh { retry: RETRY })),
+            (None, Access::Write(_)) if expired => {
+                Some(Err(RouteError::NoPrimary { retry: RETRY }))
+            }
+            (None, Access::Read(_)) if expired => Some(Err(RouteError::NotFresh { retry: RETRY })),
             (result, _) => result,
         }
     }
 
     /// Routes a write. While the session's term is newer than the known primary's, the write
     /// waits: under the older term the session would not see its own writes.
-    fn route_write(&self, point: Option<Point>) -> Option<Result<Target, Refusal>> {
+    fn route_write(&self, point: Option<Point>) -> Option<Result<Target, RouteError>> {
         if self.lacks_majority() {
-            return Some(Err(Refusal::NoMajority { retry: RETRY }));
+            return Some(Err(RouteError::NoMajority { retry: RETRY }));
         }
         if point.is_some_and(|p| p.term > self.leadership.term) {
             return None;
@@ -163,7 +165,7 @@
         self.spec.members.len() - unreachable < self.spec.majority()
     }
 
-    fn route_read(&self, need: ReadNeed, arrived: Time) -> Option<Result<Target, Refusal>> {
+    fn route_read(&self, need: ReadNeed, arrived: Time) -> Option<Result<Target, RouteError>> {
         // A read on an unresponsive instance would take longer than any queue.
         let responds = |id: &InstanceId| {
             let reachability = self.reachability.get(id).copied().unwrap_or_default();
@@ -174,11 +176,11 @@
             .iter()
             .filter(|(id, _)| responds(id))
             .collect();
-        let choice = Choice {
+        let choice = Selector {
             now: self.now,
             arrived,
             need,
-            here: &self.local_proxy.location,
+            location: &self.local_proxy.location,
             spec: &self.spec,
             term: self.leadership.term,
             primary: self
@@ -188,14 +190,16 @@
                 .filter(|_| self.deposed_since.is_none()),
             seen,
             loads: &self.loads,
-            fresh: &self.freshness,
+            freshness: &self.freshness,
         };
-        match choice.pick() {
-            Pick::Go(instance, point) => self.target(&instance, point).map(Ok),
-            Pick::Forked(point) => Some(Err(Refusal::Forked { point })),
+        match choice.select() {
+            Selection::Run(instance, point) => self.target(&instance, point).map(Ok),
+            Selection::Forked(point) => Some(Err(RouteError::Forked { point })),
             // A partitioned data centre receives no fresher state for now.
-            Pick::Wait if self.lacks_majority() => Some(Err(Refusal::NoneFresh { retry: RETRY })),
-            Pick::Wait => None,
+            Selection::Wait if self.lacks_majority() => {
+                Some(Err(RouteError::NotFresh { retry: RETRY }))
+            }
+            Selection::Wait => None,
         }
     }
 
@@ -232,7 +236,9 @@
         );
         if refused {
             // The next step queries every instance at once instead of after the interval.
-            self.polls.values_mut().for_each(crate::poll::Poll::hurry);
+            self.polls
+                .values_mut()
+                .for_each(crate::poll::Poll::make_due);
         }
     }
 }
--- a/crates/policy/src/message.rs
+++ b/crates/policy/src/message.rs
@@ -7,7 +7,7 @@
 
 use crate::decision::Decision;
 use crate::leadership::Record;
-use crate::route::{Failure, ReadNeed, Refusal, Target, Unconfirmed};
+use crate::route::{Failure, ReadNeed, RouteError, Target, Unconfirmed};
 use crate::spec::Spec;
 use crate::status::Status;
 
@@ -241,7 +241,7 @@
         /// The request.
         request: RequestId,
         /// Its route, or why there is none.
-        result: Result<Target, Refusal>,
+        result: Result<Target, RouteError>,
     },
     /// Return the outcome of a confirmation.
     Confirmed {
--- a/crates/policy/tests/failover/fake/caller.rs
+++ b/crates/policy/tests/failover/fake/caller.rs
@@ -3,7 +3,7 @@
 use model::position::Point;
 use model::unit::{Span, Time};
 use policy::message::{Event, RequestId};
-use policy::route::{ReadNeed, Refusal, Target, Unconfirmed};
+use policy::route::{ReadNeed, RouteError, Target, Unconfirmed};
 use policy::status::Role;
 
 use super::oracle::{Expectations, Violation};
@@ -171,13 +171,13 @@
         &mut self,
         proxy: ProxyProcess,
         request: RequestId,
-        result: Result<Target, Refusal>,
+        result: Result<Target, RouteError>,
     ) {
         let target = match result {
             Ok(target) => target,
             Err(refusal) => {
                 self.oracle.callers.outcomes.rejected += 1;
-                if let Refusal::Forked { point } = refusal {
+                if let RouteError::Forked { point } = refusal {
                     self.oracle.violations.push(Violation::Forked(point));
                 }
                 self.close(request);
--- a/crates/policy/tests/primary_monitor.rs
+++ b/crates/policy/tests/primary_monitor.rs
@@ -22,7 +22,7 @@
         slots: 3,
         leaving: false,
         claims_primary: name == "p",
-        born: 1,
+        started_at: 1,
     };
     let mut monitor = PrimaryMonitor::default();
     monitor.set_entries(&[entry("p"), entry("a")]);
