--- a/crates/policy/src/decision.rs
+++ b/crates/policy/src/decision.rs
@@ -84,8 +84,7 @@
 #[serde(rename_all = "snake_case")]
 pub enum What {
     /// The primary is unresponsive; evidence is being gathered.
-    #[serde(rename = "doubt")]
-    Suspected(InstanceId),
+    Doubt(InstanceId),
     /// The suspected primary responded again.
     Cleared(InstanceId),
     /// Requests are forwarded through a peer that still reaches the primary.
--- a/crates/policy/src/group/step.rs
+++ b/crates/policy/src/group/step.rs
@@ -112,7 +112,7 @@
         let trace = self.change.trace;
         let what = match &verdict {
             Verdict::Healthy => What::Cleared(primary.clone()),
-            Verdict::Suspect => What::Suspected(primary.clone()),
+            Verdict::Suspect => What::Doubt(primary.clone()),
             Verdict::Forward(peer) => What::Forward(peer.clone()),
             Verdict::Replace(cause) => What::Replace(primary.clone(), *cause),
         };
--- a/crates/proxy/src/group/log.rs
+++ b/crates/proxy/src/group/log.rs
@@ -25,7 +25,7 @@
 
 fn what(what: &What) -> &'static str {
     match what {
-        What::Suspected(_) => "doubt",
+        What::Doubt(_) => "doubt",
         What::Cleared(_) => "cleared",
         What::Forward(_) => "forward",
         What::Replace(..) => "replace",
