--- a/crates/front/src/coordinator/links.rs
+++ b/crates/front/src/coordinator/links.rs
@@ -207,11 +207,11 @@
     let now = clock::now();
     ConnRequest {
         kind: Kind::Control(entry.id.clone()),
-        own: None,
+        own_write: None,
         arrived: now,
-        give_up: now + Span::from(limit),
+        deadline: now + Span::from(limit),
         priority: 0,
         avoid: None,
-        patient: true,
+        may_wait: true,
     }
 }
--- a/crates/front/src/group.rs
+++ b/crates/front/src/group.rs
@@ -14,7 +14,7 @@
 use model::id::{GroupId, InstanceId};
 use model::position::Point;
 use model::unit::{Span, Time};
-use policy::pool::{self, Action, ConnRequest, Grant, OpenFault, Pool, Refused};
+use policy::pool::{self, Action, ConnRequest, Grant, OpenError, Pool, Rejection};
 use policy::primary_monitor::PrimaryMonitor;
 use policy::proof::Proof;
 use policy::replica_ack::Replica;
@@ -43,13 +43,13 @@
 /// Pause between two looks at the connections that count.
 const PREPARE_PAUSE: Span = Span::from_millis(500);
 
-type Reply = flume::Sender<Result<Grant<Conn>, Refused>>;
+type Reply = flume::Sender<Result<Grant<Conn>, Rejection>>;
 
 /// A message to the group's task.
 enum Message {
     Ask(ConnRequest, Reply),
     GiveBack(Returned),
-    Opened(InstanceId, Result<Conn, OpenFault>),
+    Opened(InstanceId, Result<Conn, OpenError>),
     /// Announced instances, and since when they may have been so.
     Entries(Vec<Entry>, Time),
     Shares(Shares),
@@ -154,7 +154,7 @@
     let id = Rc::new(group);
     let task = Group {
         id: id.clone(),
-        pool: Pool::new().by_age(Conn::opened),
+        pool: Pool::new().prefer_oldest(Conn::opened),
         watch: PrimaryMonitor::default(),
         own: true,
         shared: false,
@@ -210,13 +210,13 @@
 
     fn take(&mut self, message: Message, now: Time) {
         let actions = match message {
-            Message::Ask(ask, reply) => self.pool.ask(ask, reply, now),
+            Message::Ask(ask, reply) => self.pool.request(ask, reply, now),
             Message::GiveBack(returned) => self.returned(returned, now),
             Message::Opened(id, result) => {
-                if matches!(result, Err(OpenFault::Unreachable)) {
-                    self.pool.rest(&id, now + probe::REST);
+                if matches!(result, Err(OpenError::Unreachable)) {
+                    self.pool.pause_reads(&id, now + probe::REST);
                 }
-                self.pool.opened(&id, result, now)
+                self.pool.open_completed(&id, result, now)
             }
             Message::Entries(entries, since) => self.entries(&entries, since, now),
             Message::Shares(shares) => {
@@ -236,7 +236,7 @@
                 let _ = reply.send(self.replicas());
                 Vec::new()
             }
-            Message::Release => self.pool.release(now),
+            Message::Release => self.pool.reject_unreachable(now),
             Message::Primary(id) => {
                 self.watch.expect(&id);
                 self.look(now);
@@ -251,18 +251,18 @@
             self.proved(&returned.instance, proof);
         }
         if let Some(point) = returned.shown {
-            self.pool.showed(&returned.instance, point);
+            self.pool.record_log_end(&returned.instance, point);
         }
         let conn = returned.conn;
         self.pool
-            .give_back(&returned.instance, conn, returned.took, now)
+            .release(&returned.instance, conn, returned.took, now)
     }
 
     fn proved(&mut self, id: &InstanceId, proof: Proof) {
         if self.watch.proved(id, proof.since) {
             tracing::info!(group = %self.id, instance = %id, "the primary is well again");
         }
-        if self.pool.proved(id, proof) {
+        if self.pool.record_proof(id, proof) {
             tracing::info!(
                 group = %self.id,
                 instance = %id,
@@ -274,7 +274,7 @@
     }
 
     fn disproved(&mut self, id: &InstanceId, cause: &'static str) {
-        if self.pool.disproved(id) {
+        if self.pool.clear_primary(id) {
             tracing::warn!(group = %self.id, instance = %id, cause, "the primary is no longer taken to lead");
         }
     }
@@ -312,10 +312,10 @@
                 self.disproved(id, "it refused a write");
                 self.look(now);
             }
-            Note::Busy => self.pool.refused(id, now),
-            Note::Lacks(point) => self.pool.lacks(id, point, now),
+            Note::Busy => self.pool.record_overload(id, now),
+            Note::Lacks(point) => self.pool.record_lack(id, point, now),
             Note::Silent => {
-                self.pool.rest(id, now + probe::REST);
+                self.pool.pause_reads(id, now + probe::REST);
                 self.watch.suspect(id, now);
                 self.look(now);
             }
@@ -355,17 +355,17 @@
             return;
         }
         self.prepare_at = now + PREPARE_PAUSE;
-        let actions = self.pool.connect(now);
+        let actions = self.pool.open_missing(now);
         self.act(actions);
         let is_eligible = |opened| self.changes.is_eligible(&self.id, opened);
-        if !self.pool.oldest().all(is_eligible) {
+        if !self.pool.oldest_per_replica().all(is_eligible) {
             self.changes.refresh();
         }
     }
 
     /// Puts up what is wrong with the group, if anything is.
     fn voice(&self, now: Time) {
-        let lags_for = self.pool.lags_for(now);
+        let lags_for = self.pool.lagging_for(now);
         let concern = Concern {
             doubt: self.watch.suspicion(now),
             lags: lags_for.is_some_and(|lags| lags >= LAGS),
@@ -381,10 +381,10 @@
                     let id = grant.instance.clone();
                     if let Err(flume::SendError(Ok(grant))) = reply.send(Ok(grant)) {
                         let now = clock::now();
-                        queue.extend(self.pool.give_back(&id, Some(grant.conn), None, now));
+                        queue.extend(self.pool.release(&id, Some(grant.conn), None, now));
                     }
                 }
-                Action::Refuse(reply, refused) => {
+                Action::Reject(reply, refused) => {
                     let _ = reply.send(Err(refused));
                 }
                 Action::Open(id) => self.open(&id),
@@ -410,15 +410,15 @@
     }
 }
 
-fn open_fault(group: &GroupId, id: &InstanceId, e: &ConnError) -> OpenFault {
+fn open_fault(group: &GroupId, id: &InstanceId, e: &ConnError) -> OpenError {
     let full = matches!(
         e,
         ConnError::Refused(model::statement::Code::TooManyConnections)
     );
     tracing::info!(%group, instance = %id, cause = %e, "no connection could be opened");
     if full {
-        OpenFault::Full
+        OpenError::Full
     } else {
-        OpenFault::Unreachable
+        OpenError::Unreachable
     }
 }
--- a/crates/front/src/group/handle.rs
+++ b/crates/front/src/group/handle.rs
@@ -5,7 +5,7 @@
 use model::entry::Entry;
 use model::id::{GroupId, InstanceId};
 use model::unit::{Span, Time};
-use policy::pool::{ConnRequest, Reason, Refused};
+use policy::pool::{ConnRequest, Reason, Rejection};
 use policy::replica_ack::{Replica, Write};
 
 use super::receipt::Request;
@@ -31,10 +31,10 @@
     }
 
     /// Waits for a connection or a refusal.
-    pub async fn ask(&self, ask: ConnRequest) -> Result<Lent, Refused> {
+    pub async fn ask(&self, ask: ConnRequest) -> Result<Lent, Rejection> {
         let (tx, rx) = flume::bounded(1);
         self.send(Message::Ask(ask, tx));
-        let stopped = Refused {
+        let stopped = Rejection {
             reason: Reason::NoInstance,
             retry_after: Span::from_millis(0),
         };
--- a/crates/front/src/group/lent.rs
+++ b/crates/front/src/group/lent.rs
@@ -40,7 +40,7 @@
             home: Home::Here(handle),
             instance: grant.instance,
             after: grant.after,
-            prove: grant.prove,
+            prove: grant.verify_primary,
             conn: Some(grant.conn),
         }
     }
--- a/crates/front/src/group/probe.rs
+++ b/crates/front/src/group/probe.rs
@@ -8,7 +8,7 @@
 use model::id::{GroupId, InstanceId};
 use model::statement::Code;
 use model::unit::{Span, Time};
-use policy::pool::{Action, OpenFault};
+use policy::pool::{Action, OpenError};
 use policy::primary_monitor::ProbeFailure;
 use policy::proof::Proof;
 
@@ -116,20 +116,20 @@
                 self.watch.failed(&id, finding, now);
                 self.disproved(&id, cause(finding));
                 if finding != ProbeFailure::Follows {
-                    self.pool.rest(&id, now + REST);
+                    self.pool.pause_reads(&id, now + REST);
                 }
             }
         }
         match (report.asked, report.lent, report.conn) {
             (false, ..) => Vec::new(),
-            (true, true, conn) => self.pool.give_back(&id, conn, None, now),
-            (true, false, Some(conn)) => self.pool.opened(&id, Ok(conn), now),
+            (true, true, conn) => self.pool.release(&id, conn, None, now),
+            (true, false, Some(conn)) => self.pool.open_completed(&id, Ok(conn), now),
             (true, false, None) => {
                 let fault = match report.found {
-                    Err(ProbeFailure::Full) => OpenFault::Full,
-                    _ => OpenFault::Unreachable,
+                    Err(ProbeFailure::Full) => OpenError::Full,
+                    _ => OpenError::Unreachable,
                 };
-                self.pool.opened(&id, Err(fault), now)
+                self.pool.open_completed(&id, Err(fault), now)
             }
         }
     }
--- a/crates/front/src/group/receipt.rs
+++ b/crates/front/src/group/receipt.rs
@@ -154,12 +154,12 @@
         let now = clock::now();
         let ask = ConnRequest {
             kind: Kind::Control(id.clone()),
-            own: None,
+            own_write: None,
             arrived: now,
-            give_up: now + Span::from(ANSWER),
+            deadline: now + Span::from(ANSWER),
             priority: 0,
             avoid: None,
-            patient: true,
+            may_wait: true,
         };
         let lent = self.handle.ask(ask).await;
         if lent.is_err() {
--- a/crates/front/src/lend.rs
+++ b/crates/front/src/lend.rs
@@ -8,7 +8,7 @@
 use model::id::{GroupId, ProxyId};
 use model::unit::Span;
 use policy::fallback::{Fallback, FallbackChoice};
-use policy::pool::{ConnRequest, Reason, Refused};
+use policy::pool::{ConnRequest, Reason, Rejection};
 use policy::pooler_retry::{Next, PoolerAttempts};
 
 use crate::clock;
@@ -84,8 +84,8 @@
 
 impl Cx {
     /// Waits for a connection to a group, of this proxy or of another one.
-    pub async fn lend(&self, group: &GroupId, mut ask: ConnRequest) -> Result<Lent, Refused> {
-        while clock::now() < ask.give_up {
+    pub async fn lend(&self, group: &GroupId, mut ask: ConnRequest) -> Result<Lent, Rejection> {
+        while clock::now() < ask.deadline {
             match self.borrow(group, &ask).await {
                 Ok(end) => return end,
                 Err(Next::OwnPool | Next::NextPooler) => return self.lend_here(group, ask).await,
@@ -93,7 +93,7 @@
                 Err(Next::Fallback) => match self.lend_elsewhere(group, &ask).await {
                     Some(end) => return end,
                     // Nobody reaches it, so a carrier waits for it on the statement's behalf.
-                    None => ask.patient = true,
+                    None => ask.may_wait = true,
                 },
             }
         }
@@ -106,7 +106,7 @@
         &self,
         group: &GroupId,
         ask: &ConnRequest,
-    ) -> Result<Result<Lent, Refused>, Next> {
+    ) -> Result<Result<Lent, Rejection>, Next> {
         let mut carriers = self.roads.through(group).into_iter().peekable();
         let mut round = PoolerAttempts::default();
         while let Some(carrier) = carriers.next() {
@@ -130,18 +130,18 @@
 
     /// Waits for a connection of this proxy, or goes through another one if no instance that
     /// could serve the request is in reach from here.
-    async fn lend_here(&self, group: &GroupId, mut ask: ConnRequest) -> Result<Lent, Refused> {
+    async fn lend_here(&self, group: &GroupId, mut ask: ConnRequest) -> Result<Lent, Rejection> {
         let Some(handle) = self.group(group) else {
             return Err(unknown());
         };
         loop {
             match handle.ask(ask.clone()).await {
-                Err(refused) if refused.reason == Reason::OutOfReach && !ask.patient => {}
+                Err(refused) if refused.reason == Reason::Unreachable && !ask.may_wait => {}
                 end => return end,
             }
             match self.lend_elsewhere(group, &ask).await {
                 Some(end) => return end,
-                None => ask.patient = true,
+                None => ask.may_wait = true,
             }
         }
     }
@@ -152,7 +152,7 @@
         &self,
         group: &GroupId,
         ask: &ConnRequest,
-    ) -> Option<Result<Lent, Refused>> {
+    ) -> Option<Result<Lent, Rejection>> {
         let peers = match self.roads.way(group) {
             FallbackChoice::Known(peer) => vec![peer],
             FallbackChoice::Search(peers) => peers,
@@ -181,8 +181,8 @@
     }
 }
 
-fn unknown() -> Refused {
-    Refused {
+fn unknown() -> Rejection {
+    Rejection {
         reason: Reason::NoInstance,
         retry_after: UNKNOWN_RETRY,
     }
--- a/crates/front/src/relay.rs
+++ b/crates/front/src/relay.rs
@@ -18,7 +18,7 @@
 use model::route::Guarantee;
 use model::statement::{Access, Shape};
 use model::unit::{Span, Time};
-use policy::pool::{ConnRequest, Kind, Refused};
+use policy::pool::{ConnRequest, Kind, Rejection};
 use serde::{Deserialize, Serialize};
 
 use crate::clock;
@@ -127,7 +127,7 @@
     /// Whether a replica holds the write.
     Proved(bool),
     /// There is none.
-    Refused(Refused),
+    Refused(Rejection),
     /// Groups with a change of primary under way.
     Changing(IndexSet<GroupId>),
     /// What the store told.
@@ -168,12 +168,12 @@
     Some(ToCarrier::Ask {
         group: group.clone(),
         kind,
-        own: ask.own,
+        own: ask.own_write,
         waited: now.since(ask.arrived),
-        left: ask.give_up.since(now),
+        left: ask.deadline.since(now),
         priority: ask.priority,
         avoid: ask.avoid.clone(),
-        patient: ask.patient,
+        patient: ask.may_wait,
     })
 }
 
@@ -199,12 +199,12 @@
     let arrived = now.as_micros().saturating_sub(waited.as_micros());
     let ask = ConnRequest {
         kind,
-        own,
+        own_write: own,
         arrived: Time::from_micros(arrived),
-        give_up: now + left,
+        deadline: now + left,
         priority,
         avoid,
-        patient,
+        may_wait: patient,
     };
     Some((group, ask))
 }
--- a/crates/front/src/relay/carrier.rs
+++ b/crates/front/src/relay/carrier.rs
@@ -64,7 +64,7 @@
         let _entered = cx.enter();
         match handle.ask(ask).await {
             Ok(lent) => carry(lent, &mut reader, &mut writer).await?,
-            Err(refused) if refused.reason == Reason::OutOfReach => {
+            Err(refused) if refused.reason == Reason::Unreachable => {
                 writer.send(encode(&FromCarrier::OutOfReach)).await?;
             }
             Err(refused) => writer.send(encode(&FromCarrier::Refused(refused))).await?,
--- a/crates/front/src/relay/client.rs
+++ b/crates/front/src/relay/client.rs
@@ -9,7 +9,7 @@
 use model::id::{GroupId, ProxyId};
 use model::position::Revision;
 use model::unit::{Span, Time};
-use policy::pool::{ConnRequest, Refused};
+use policy::pool::{ConnRequest, Rejection};
 use policy::pooler_retry;
 use policy::replica_ack::Write;
 use store::client::TIME_LIMIT;
@@ -55,7 +55,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Miss {
     /// The statement is refused; another carrier would not do better.
-    Refused(Refused),
+    Refused(Rejection),
     /// Another carrier may be asked.
     Elsewhere(pooler_retry::GrantFailure),
 }
@@ -265,7 +265,7 @@
             FromCarrier::Heard => {}
             other => return self.elsewhere(carrier, conn, &other),
         }
-        let left = ask.give_up.since(clock::now());
+        let left = ask.deadline.since(clock::now());
         let left = Span::from_micros(left.as_micros() + GRACE.as_micros());
         match read(&mut conn, left).await.map_err(Trouble::Broken)? {
             FromCarrier::Granted {
@@ -382,7 +382,7 @@
 
 /// Why one try brought no loan.
 enum Trouble {
-    Refused(Refused),
+    Refused(Rejection),
     Elsewhere(pooler_retry::GrantFailure),
     Broken(ConnError),
 }
--- a/crates/front/src/session.rs
+++ b/crates/front/src/session.rs
@@ -18,7 +18,7 @@
 use model::statement::{Code, Shape, Statement, StatementId, TxState};
 use model::unit::{Span, Time};
 use platform::line::{self, Request};
-use policy::pool::Refused;
+use policy::pool::Rejection;
 
 use crate::clock;
 use crate::conn::{Values, What};
@@ -40,7 +40,7 @@
 pub enum Failure {
     /// No connection could be lent; it did not run.
     #[error(transparent)]
-    Refused(#[from] Refused),
+    Refused(#[from] Rejection),
     /// The instance said why.
     #[error("the instance answered {0:?}")]
     Instance(Code),
--- a/crates/front/src/session/attempt.rs
+++ b/crates/front/src/session/attempt.rs
@@ -279,12 +279,12 @@
 pub(super) fn ask(job: &Job, kind: Kind, route: &Route, own: Option<Point>) -> ConnRequest {
     ConnRequest {
         kind,
-        own,
+        own_write: own,
         arrived: job.arrived,
-        give_up: job.arrived + route.time_limit,
+        deadline: job.arrived + route.time_limit,
         priority: route.priority,
         avoid: None,
-        patient: false,
+        may_wait: false,
     }
 }
 
--- a/crates/front/src/session/tx.rs
+++ b/crates/front/src/session/tx.rs
@@ -282,12 +282,12 @@
             };
             let ask = ConnRequest {
                 kind,
-                own: self.own,
+                own_write: self.own,
                 arrived,
-                give_up,
+                deadline: give_up,
                 priority: route.priority,
                 avoid: avoid.take(),
-                patient: false,
+                may_wait: false,
             };
             let mut lent = self.cx.lend(&route.group, ask).await?;
             let setup = Setup {
--- a/crates/policy/src/pool.rs
+++ b/crates/policy/src/pool.rs
@@ -19,7 +19,7 @@
 
 use crate::proof::{Need, Proof, Proofs};
 pub use instance::Instance;
-pub use request::{Action, ConnRequest, Grant, Kind, OpenFault, Reason, Refused};
+pub use request::{Action, ConnRequest, Grant, Kind, OpenError, Reason, Rejection};
 
 /// Least hint to come back, so that refused callers do not spin.
 const MIN_RETRY: Span = Span::from_millis(50);
@@ -43,15 +43,15 @@
 /// slots and 20 ms a statement this many wait for about a second.
 const MAX_WAITING: usize = 400;
 
-struct Waiter<W> {
-    ask: ConnRequest,
-    who: W,
+struct Pending<W> {
+    request: ConnRequest,
+    waiter: W,
 }
 
 /// Connections of one proxy to one group.
 pub struct Pool<C, W> {
     instances: IndexMap<InstanceId, Instance<C>>,
-    waiting: Vec<Waiter<W>>,
+    waiting: Vec<Pending<W>>,
     primary: Option<InstanceId>,
     /// Since when no primary is known.
     lost_since: Option<Time>,
@@ -61,7 +61,7 @@
     /// Proxies that share them.
     proxies: u32,
     /// Whether this proxy is one of those.
-    own: bool,
+    is_holder: bool,
     /// Since when no replica holds what reads need, if so.
     lagging_since: Option<Time>,
     /// Greatest age that a read accepted lately, and when it was asked for.
@@ -83,7 +83,7 @@
             proofs: Proofs::default(),
             connections: 1,
             proxies: 1,
-            own: true,
+            is_holder: true,
             lagging_since: None,
             accepted: Default::default(),
             opened: |_| Time::default(),
@@ -95,27 +95,27 @@
     /// Load: bursts that need a second connection now and then. Harm without it: each burst
     /// leaves another connection open, and one that counts for proofs of writes is closed.
     #[must_use]
-    pub fn by_age(mut self, opened: fn(&C) -> Time) -> Self {
+    pub fn prefer_oldest(mut self, opened: fn(&C) -> Time) -> Self {
         self.opened = opened;
         self
     }
 
     /// Takes over how many connections an instance accepts, how many proxies share them,
     /// and whether this proxy is one of those; if not, it keeps none while they are idle.
-    pub fn set_shares(&mut self, connections: u32, proxies: u32, own: bool) {
+    pub fn set_shares(&mut self, connections: u32, proxies: u32, is_holder: bool) {
         self.connections = connections.max(1);
         self.proxies = proxies.max(1);
-        self.own = own;
+        self.is_holder = is_holder;
     }
 
     /// Takes over the announced instances; `way` is the usual round trip to each.
     pub fn set_entries(
         &mut self,
         entries: &[Entry],
-        way: impl Fn(&Entry) -> Span,
+        round_trip: impl Fn(&Entry) -> Span,
         now: Time,
     ) -> Vec<Action<C, W>> {
-        self.set_entries_since(entries, way, now, now)
+        self.set_entries_since(entries, round_trip, now, now)
     }
 
     /// The same, where what changed may have changed as early as `since`.
@@ -126,7 +126,7 @@
     pub fn set_entries_since(
         &mut self,
         entries: &[Entry],
-        way: impl Fn(&Entry) -> Span,
+        round_trip: impl Fn(&Entry) -> Span,
         since: Time,
         now: Time,
     ) -> Vec<Action<C, W>> {
@@ -147,11 +147,11 @@
         for entry in entries {
             match self.instances.get_mut(&entry.id) {
                 Some(known) => {
-                    let stale = known.update(entry, way(entry), since, now);
+                    let stale = known.update(entry, round_trip(entry), since, now);
                     actions.extend(stale.into_iter().map(Action::Close));
                 }
                 None => {
-                    let new = Instance::new(entry.clone(), way(entry), since);
+                    let new = Instance::new(entry.clone(), round_trip(entry), since);
                     self.instances.insert(entry.id.clone(), new);
                 }
             }
@@ -171,10 +171,10 @@
 
     /// When the oldest connection to each replica was opened, idle or lent; a replica without
     /// one is left out.
-    pub fn oldest(&self) -> impl Iterator<Item = Time> {
+    pub fn oldest_per_replica(&self) -> impl Iterator<Item = Time> {
         let replicas = self.instances.values();
         let replicas = replicas.filter(|i| self.primary.as_ref() != Some(i.id()));
-        replicas.filter_map(|i| i.oldest(self.opened))
+        replicas.filter_map(|i| i.oldest_per_replica(self.opened))
     }
 
     /// The instance that last proved that it leads.
@@ -193,7 +193,7 @@
     }
 
     /// An instance proved that it leads.
-    pub fn proved(&mut self, id: &InstanceId, proof: Proof) -> bool {
+    pub fn record_proof(&mut self, id: &InstanceId, proof: Proof) -> bool {
         self.proofs.add(proof);
         let newest = self.proofs.newest().is_some_and(|p| p.since == proof.since);
         if !newest || self.primary.as_ref() == Some(id) {
@@ -205,35 +205,37 @@
     }
 
     /// An instance does not lead, or is out of reach; says whether it was taken to lead.
-    pub fn disproved(&mut self, id: &InstanceId) -> bool {
+    pub fn clear_primary(&mut self, id: &InstanceId) -> bool {
         self.primary.take_if(|p| p == id).is_some()
     }
 
     /// Asks for a connection.
-    pub fn ask(&mut self, ask: ConnRequest, who: W, now: Time) -> Vec<Action<C, W>> {
-        self.note_age(&ask.kind, now);
-        if !ask.patient && self.is_out_of_reach(&ask, now) {
-            let refused = out_of_reach();
-            return vec![Action::Refuse(who, refused)];
+    pub fn request(&mut self, request: ConnRequest, waiter: W, now: Time) -> Vec<Action<C, W>> {
+        self.note_age(&request.kind, now);
+        if !request.may_wait && self.is_unreachable(&request, now) {
+            let refused = unreachable();
+            return vec![Action::Reject(waiter, refused)];
         }
-        if self.waiting.len() >= MAX_WAITING || self.hopeless(&ask, now) {
-            let refused = self.refusal(&ask);
-            return vec![Action::Refuse(who, refused)];
+        if self.waiting.len() >= MAX_WAITING || self.is_futile(&request, now) {
+            let refused = self.refusal(&request);
+            return vec![Action::Reject(waiter, refused)];
         }
-        let at = self.waiting.partition_point(|w| w.ask.rank() <= ask.rank());
-        self.waiting.insert(at, Waiter { ask, who });
+        let at = self
+            .waiting
+            .partition_point(|w| w.request.rank() <= request.rank());
+        self.waiting.insert(at, Pending { request, waiter });
         self.settle(now)
     }
 
     /// Refuses everybody who waits for instances that are out of reach, since another proxy
     /// was found that reaches them.
-    pub fn release(&mut self, now: Time) -> Vec<Action<C, W>> {
+    pub fn reject_unreachable(&mut self, now: Time) -> Vec<Action<C, W>> {
         let mut actions = Vec::new();
         let mut at = 0;
         while at < self.waiting.len() {
-            if self.is_out_of_reach(&self.waiting[at].ask, now) {
-                let waiter = self.waiting.remove(at);
-                actions.push(Action::Refuse(waiter.who, out_of_reach()));
+            if self.is_unreachable(&self.waiting[at].request, now) {
+                let pending = self.waiting.remove(at);
+                actions.push(Action::Reject(pending.waiter, unreachable()));
             } else {
                 at += 1;
             }
@@ -243,26 +245,26 @@
 
     /// Whether no instance that could serve the request is in reach of this proxy, while
     /// another proxy may reach one.
-    fn is_out_of_reach(&self, ask: &ConnRequest, now: Time) -> bool {
-        match self.need(ask) {
+    fn is_unreachable(&self, request: &ConnRequest, now: Time) -> bool {
+        match self.need(request) {
             None => false,
             Some(Need::Primary) => match &self.primary {
                 None => self.lost_since.is_some_and(|at| now.since(at) >= LOST_FOR),
-                Some(id) => self.instances.get(id).is_none_or(Instance::is_out_of_reach),
+                Some(id) => self.instances.get(id).is_none_or(Instance::is_unreachable),
             },
             Some(Need::Holds(point)) => self
                 .instances
                 .values()
-                .all(|i| i.is_out_of_reach() || i.lacks_certainly(point, now)),
+                .all(|i| i.is_unreachable() || i.lacks_certainly(point, now)),
         }
     }
 
     /// What the request's instance must be or hold; `None` for a question to a certain one.
-    fn need(&self, ask: &ConnRequest) -> Option<Need> {
-        match ask.kind {
+    fn need(&self, req: &ConnRequest) -> Option<Need> {
+        match req.kind {
             Kind::Control(_) => None,
             Kind::Write => Some(Need::Primary),
-            Kind::Read(guarantee) => Some(self.proofs.need(guarantee, ask.own, ask.arrived)),
+            Kind::Read(guarantee) => Some(self.proofs.need(guarantee, req.own_write, req.arrived)),
         }
     }
 
@@ -271,16 +273,16 @@
     /// Load: a group without a primary for longer than a change of primary takes, for
     /// instance because the store is away. Harm without it: all of its callers wait until
     /// their time is up and learn only then that they must come back.
-    fn hopeless(&mut self, ask: &ConnRequest, now: Time) -> bool {
+    fn is_futile(&mut self, request: &ConnRequest, now: Time) -> bool {
         self.note_loss(now);
         let long = self
             .lost_since
             .is_some_and(|at| now.since(at) >= CHANGE_TAKES);
-        long && matches!(ask.kind, Kind::Write | Kind::Read(Guarantee::Newest))
+        long && matches!(request.kind, Kind::Write | Kind::Read(Guarantee::Newest))
     }
 
     /// A connection comes back; `None` when it cannot be used again.
-    pub fn give_back(
+    pub fn release(
         &mut self,
         id: &InstanceId,
         conn: Option<C>,
@@ -289,7 +291,7 @@
     ) -> Vec<Action<C, W>> {
         let mut actions = Vec::new();
         match self.instances.get_mut(id) {
-            Some(instance) => instance.give_back(conn, took, self.opened, now),
+            Some(instance) => instance.release(conn, took, self.opened, now),
             None => actions.extend(conn.map(Action::Close)),
         }
         actions.extend(self.settle(now));
@@ -297,15 +299,15 @@
     }
 
     /// A connection that was to be opened is open, or is not.
-    pub fn opened(
+    pub fn open_completed(
         &mut self,
         id: &InstanceId,
-        result: Result<C, OpenFault>,
+        result: Result<C, OpenError>,
         now: Time,
     ) -> Vec<Action<C, W>> {
         let mut actions = Vec::new();
         match self.instances.get_mut(id) {
-            Some(instance) => instance.opened(result, now),
+            Some(instance) => instance.open_completed(result, now),
             None => actions.extend(result.ok().map(Action::Close)),
         }
         actions.extend(self.settle(now));
@@ -318,29 +320,29 @@
     }
 
     /// The instance is not to be given reads for a while: it lags, or did not answer.
-    pub fn rest(&mut self, id: &InstanceId, until: Time) {
+    pub fn pause_reads(&mut self, id: &InstanceId, until: Time) {
         if let Some(instance) = self.instances.get_mut(id) {
-            instance.rest(until);
+            instance.pause_reads(until);
         }
     }
 
     /// The instance's log lacked a point that a read asked for.
-    pub fn lacks(&mut self, id: &InstanceId, point: Point, now: Time) {
+    pub fn record_lack(&mut self, id: &InstanceId, point: Point, now: Time) {
         if let Some(instance) = self.instances.get_mut(id) {
-            instance.lacks(point, now);
+            instance.record_lack(point, now);
         }
     }
 
     /// An answer of the instance showed the end of its log.
-    pub fn showed(&mut self, id: &InstanceId, point: Point) {
+    pub fn record_log_end(&mut self, id: &InstanceId, point: Point) {
         if let Some(instance) = self.instances.get_mut(id) {
-            instance.showed(point);
+            instance.record_log_end(point);
         }
     }
 
     /// For how long no replica has held what the most tolerant reads need, so that the
     /// primary must serve all of them.
-    pub fn lags_for(&self, now: Time) -> Option<Span> {
+    pub fn lagging_for(&self, now: Time) -> Option<Span> {
         self.lagging_since.map(|since| now.since(since))
     }
 
@@ -387,20 +389,20 @@
     }
 
     /// The instance refused a statement for want of capacity.
-    pub fn refused(&mut self, id: &InstanceId, now: Time) {
+    pub fn record_overload(&mut self, id: &InstanceId, now: Time) {
         if let Some(instance) = self.instances.get_mut(id) {
-            instance.refused(now);
+            instance.record_overload(now);
         }
     }
 
     /// Refuses whose time is up, closes what is not needed, and serves who can be served.
     pub fn tick(&mut self, now: Time) -> Vec<Action<C, W>> {
         let mut actions = Vec::new();
-        let late = self.waiting.extract_if(.., |w| w.ask.give_up <= now);
+        let late = self.waiting.extract_if(.., |w| w.request.deadline <= now);
         let late: Vec<_> = late.collect();
         for w in late {
-            let refused = self.refusal(&w.ask);
-            actions.push(Action::Refuse(w.who, refused));
+            let refused = self.refusal(&w.request);
+            actions.push(Action::Reject(w.waiter, refused));
         }
         self.note_loss(now);
         self.note_lag(now);
@@ -424,20 +426,20 @@
 
     /// When [`Pool::tick`] must be called next for those who wait.
     pub fn next_tick(&self) -> Option<Time> {
-        self.waiting.iter().map(|w| w.ask.give_up).min()
+        self.waiting.iter().map(|w| w.request.deadline).min()
     }
 
-    fn refusal(&self, ask: &ConnRequest) -> Refused {
-        let reason = match (&ask.kind, &self.primary) {
+    fn refusal(&self, request: &ConnRequest) -> Rejection {
+        let reason = match (&request.kind, &self.primary) {
             (Kind::Write | Kind::Read(Guarantee::Newest), None) => Reason::NoPrimary,
             _ if self.instances.is_empty() => Reason::NoInstance,
             _ => Reason::Busy,
         };
         let retry_after = match reason {
-            Reason::NoPrimary | Reason::NoInstance | Reason::OutOfReach => FAILOVER_RETRY,
+            Reason::NoPrimary | Reason::NoInstance | Reason::Unreachable => FAILOVER_RETRY,
             Reason::Busy => MIN_RETRY.times(1 + self.waiting.len() as u64 / 4),
         };
-        Refused {
+        Rejection {
             reason,
             retry_after,
         }
@@ -450,9 +452,9 @@
     }
 }
 
-fn out_of_reach() -> Refused {
-    Refused {
-        reason: Reason::OutOfReach,
+fn unreachable() -> Rejection {
+    Rejection {
+        reason: Reason::Unreachable,
         retry_after: MIN_RETRY,
     }
 }
--- a/crates/policy/src/pool/instance.rs
+++ b/crates/policy/src/pool/instance.rs
@@ -6,7 +6,7 @@
 use model::unit::{Span, Time};
 
 use super::loans::Loans;
-use super::{OpenFault, Opened};
+use super::{OpenError, Opened};
 
 /// Time after which an idle connection beyond the proxy's part is closed. Opening one
 /// costs the instance as much work as a statement, so it should outlast a pause between
@@ -87,7 +87,7 @@
 /// One instance.
 pub struct Instance<C> {
     entry: Entry,
-    way: Span,
+    round_trip: Span,
     leaving_since: Option<Time>,
     /// Idle connections, each with the time since when, the longest idle first.
     idle: Vec<(C, Time)>,
@@ -113,11 +113,11 @@
 }
 
 impl<C> Instance<C> {
-    pub(super) fn new(entry: Entry, way: Span, since: Time) -> Self {
+    pub(super) fn new(entry: Entry, round_trip: Span, since: Time) -> Self {
         Self {
             leaving_since: entry.leaving.then_some(since),
             entry,
-            way,
+            round_trip,
             idle: Vec::new(),
             loans: Loans::default(),
             opening: 0,
@@ -135,7 +135,13 @@
 
     /// Takes over an announcement that may have changed as early as `since`; connections to an
     /// earlier process are of no use.
-    pub(super) fn update(&mut self, entry: &Entry, way: Span, since: Time, now: Time) -> Vec<C> {
+    pub(super) fn update(
+        &mut self,
+        entry: &Entry,
+        round_trip: Span,
+        since: Time,
+        now: Time,
+    ) -> Vec<C> {
         let restarted = self.entry.born != entry.born || self.entry.address != entry.address;
         if !entry.leaving {
             self.leaving_since = None;
@@ -143,7 +149,7 @@
             self.leaving_since = Some(since);
         }
         self.entry = entry.clone();
-        self.way = way;
+        self.round_trip = round_trip;
         if !restarted {
             return Vec::new();
         }
@@ -167,11 +173,11 @@
 
     /// Connections that are open, lent or being opened.
     pub fn count(&self) -> u32 {
-        self.idle.len() as u32 + self.lent() + self.opening
+        self.idle.len() as u32 + self.checked_out() + self.opening
     }
 
     /// Connections that are lent.
-    pub fn lent(&self) -> u32 {
+    pub fn checked_out(&self) -> u32 {
         self.loans.count()
     }
 
@@ -181,8 +187,8 @@
     }
 
     /// Whether this proxy has no connection to it and could open none.
-    pub(super) fn is_out_of_reach(&self) -> bool {
-        self.failing && self.idle.is_empty() && self.lent() == 0
+    pub(super) fn is_unreachable(&self) -> bool {
+        self.failing && self.idle.is_empty() && self.checked_out() == 0
     }
 
     /// Whether a connection is idle.
@@ -191,9 +197,9 @@
     }
 
     /// When its oldest connection was opened, idle or lent.
-    pub(super) fn oldest(&self, opened: Opened<C>) -> Option<Time> {
+    pub(super) fn oldest_per_replica(&self, opened: Opened<C>) -> Option<Time> {
         let idle = self.idle.iter().map(|(conn, _)| opened(conn));
-        idle.chain(self.loans.oldest()).min()
+        idle.chain(self.loans.oldest_per_replica()).min()
     }
 
     pub(super) fn into_idle(self) -> impl Iterator<Item = C> {
@@ -210,7 +216,7 @@
         Some(conn)
     }
 
-    pub(super) fn give_back(
+    pub(super) fn release(
         &mut self,
         conn: Option<C>,
         took: Option<Span>,
@@ -226,18 +232,18 @@
         }
     }
 
-    pub(super) fn opened(&mut self, result: Result<C, OpenFault>, now: Time) {
+    pub(super) fn open_completed(&mut self, result: Result<C, OpenError>, now: Time) {
         self.opening = self.opening.saturating_sub(1);
         self.failing = result.is_err();
         match result {
             Ok(conn) => self.keep(conn, now),
             Err(fault) => {
                 let pause = match fault {
-                    OpenFault::Full => {
+                    OpenError::Full => {
                         self.ceiling = Some((self.count(), now));
                         FULL_PAUSE
                     }
-                    OpenFault::Unreachable => UNREACHABLE_PAUSE,
+                    OpenError::Unreachable => UNREACHABLE_PAUSE,
                 };
                 self.no_open_before = now + pause;
             }
@@ -272,22 +278,22 @@
         self.opening += 1;
     }
 
-    pub(super) fn rest(&mut self, until: Time) {
+    pub(super) fn pause_reads(&mut self, until: Time) {
         self.rests_until = self.rests_until.max(until);
     }
 
     pub(super) fn serves_reads(&self, now: Time) -> bool {
-        let room = f64::from(self.lent()) < self.room;
+        let room = f64::from(self.checked_out()) < self.room;
         !self.entry.leaving && self.rests_until <= now && room
     }
 
     /// Its log lacked a point that a read asked for.
-    pub(super) fn lacks(&mut self, point: Point, now: Time) {
+    pub(super) fn record_lack(&mut self, point: Point, now: Time) {
         self.behind = Some((point, now));
     }
 
     /// An answer showed the end of its log.
-    pub(super) fn showed(&mut self, point: Point) {
+    pub(super) fn record_log_end(&mut self, point: Point) {
         self.shown = self.shown.max(point);
         self.behind.take_if(|(lacked, _)| *lacked <= point);
     }
@@ -317,9 +323,9 @@
     /// without it: each refused statement comes back at once and is refused again. Fewer
     /// in flight after a refusal, and slowly more after each answer, keeps the queue
     /// short and the slots full.
-    pub(super) fn refused(&mut self, now: Time) {
-        self.room = (f64::from(self.lent()) * SHRINK).max(1.0);
-        self.rest(now + BUSY_REST);
+    pub(super) fn record_overload(&mut self, now: Time) {
+        self.room = (f64::from(self.checked_out()) * SHRINK).max(1.0);
+        self.pause_reads(now + BUSY_REST);
     }
 
     /// Whether writes may go to it, if it leads. One that leaves goes on leading until
@@ -367,15 +373,15 @@
     /// includes the wait behind other proxies' statements, so that work moves away from
     /// an instance that others keep busy; statements of this proxy count in full.
     pub(super) fn expected(&self, leads: bool, now: Time) -> Span {
-        let guess = FIRST_GUESS.as_micros() + self.way.as_micros();
+        let guess = FIRST_GUESS.as_micros() + self.round_trip.as_micros();
         let mut usual = self.usual.map_or(guess, Span::as_micros);
         if now.since(self.learned) > FORGET {
             usual = usual.min(guess);
         }
         let slots = u64::from(self.entry.slots.max(1));
-        let work = usual.saturating_sub(self.way.as_micros());
-        let mut expected = usual + work * u64::from(self.lent()) / slots;
-        if self.way >= FAR {
+        let work = usual.saturating_sub(self.round_trip.as_micros());
+        let mut expected = usual + work * u64::from(self.checked_out()) / slots;
+        if self.round_trip >= FAR {
             expected += FAR_COST.as_micros();
         }
         if !self.has_idle() {
--- a/crates/policy/src/pool/loans.rs
+++ b/crates/policy/src/pool/loans.rs
@@ -13,7 +13,7 @@
     }
 
     /// When the oldest one was opened.
-    pub(super) fn oldest(&self) -> Option<Time> {
+    pub(super) fn oldest_per_replica(&self) -> Option<Time> {
         self.0.iter().min().copied()
     }
 
--- a/crates/policy/src/pool/request.rs
+++ b/crates/policy/src/pool/request.rs
@@ -22,18 +22,18 @@
     /// What it is for.
     pub kind: Kind,
     /// The session's newest own write.
-    pub own: Option<Point>,
+    pub own_write: Option<Point>,
     /// When the statement, or its transaction, arrived.
     pub arrived: Time,
     /// When the caller is refused at the latest.
-    pub give_up: Time,
+    pub deadline: Time,
     /// Rank under load; 0 goes first.
     pub priority: u8,
     /// An instance that just could not serve it.
     pub avoid: Option<InstanceId>,
     /// Whether it waits also while no instance that could serve it is in reach; otherwise
     /// it is refused at once, to try another proxy.
-    pub patient: bool,
+    pub may_wait: bool,
 }
 
 impl ConnRequest {
@@ -53,7 +53,7 @@
     /// The read must carry this point, so that it runs only on a log that holds it.
     pub after: Option<Point>,
     /// The instance must first prove that it leads.
-    pub prove: bool,
+    pub verify_primary: bool,
 }
 
 /// Why nothing was lent.
@@ -72,7 +72,8 @@
     NoInstance,
     /// Instances that could serve it are not in reach of this proxy.
     #[error("no instance that can serve it is in reach")]
-    OutOfReach,
+    #[serde(rename = "OutOfReach")]
+    Unreachable,
 }
 
 /// A refusal; the statement has not run.
@@ -80,7 +81,7 @@
     Clone, Copy, Debug, PartialEq, Eq, thiserror::Error, serde::Serialize, serde::Deserialize,
 )]
 #[error("{reason}; retry after {} ms", retry_after.as_millis())]
-pub struct Refused {
+pub struct Rejection {
     /// Why.
     pub reason: Reason,
     /// When a new attempt is likely to be served.
@@ -93,7 +94,7 @@
     /// Lend a connection.
     Grant(W, Grant<C>),
     /// Refuse.
-    Refuse(W, Refused),
+    Reject(W, Rejection),
     /// Open a connection to the instance.
     Open(InstanceId),
     /// Close a connection.
@@ -102,7 +103,7 @@
 
 /// Why a connection could not be opened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum OpenFault {
+pub enum OpenError {
     /// The instance has no connection left.
     Full,
     /// The instance is another one, or does not answer.
--- a/crates/policy/src/pool/serve.rs
+++ b/crates/policy/src/pool/serve.rs
@@ -26,7 +26,7 @@
     /// [`SPARE_FOR_SLOT`] free for each slot, of which two thirds at least are idle, and
     /// keep at least a third of them all: opening one costs as much as a statement.
     pub(super) fn kept(&self, slots: u32) -> u32 {
-        if !self.own {
+        if !self.is_holder {
             return 0;
         }
         let spared = self.connections.saturating_sub(slots * SPARE_FOR_SLOT);
@@ -67,8 +67,8 @@
     /// Load: the store goes away while a fleet is idle. Harm without it: the connections that
     /// are opened with the first statements do not count for proofs of writes until the store
     /// is back, and the writes are in doubt.
-    pub fn connect(&mut self, now: Time) -> Vec<Action<C, W>> {
-        if !self.own {
+    pub fn open_missing(&mut self, now: Time) -> Vec<Action<C, W>> {
+        if !self.is_holder {
             return Vec::new();
         }
         let limits = self.limits();
@@ -89,18 +89,18 @@
         // Connections that will come without another one being opened, by instance.
         let mut coming: IndexMap<InstanceId, u32> = IndexMap::new();
         while at < self.waiting.len() {
-            let ask = &self.waiting[at].ask;
-            let need = self.need(ask).unwrap_or(Need::Primary);
-            match self.place(ask, need, now) {
+            let request = &self.waiting[at].request;
+            let need = self.need(request).unwrap_or(Need::Primary);
+            match self.place(request, need, now) {
                 Some(id) => {
                     let Some(conn) = take(&mut self.instances, &id, self.opened) else {
                         self.expect(&id, &mut coming, now, &mut actions);
                         at += 1;
                         continue;
                     };
-                    let waiter = self.waiting.remove(at);
-                    let grant = grant(id, conn, &waiter.ask.kind, need);
-                    actions.push(Action::Grant(waiter.who, grant));
+                    let pending = self.waiting.remove(at);
+                    let grant = grant(id, conn, &pending.request.kind, need);
+                    actions.push(Action::Grant(pending.waiter, grant));
                 }
                 None => at += 1,
             }
@@ -130,8 +130,8 @@
     }
 
     /// The instance that would serve the request soonest.
-    fn place(&self, ask: &ConnRequest, need: Need, now: Time) -> Option<InstanceId> {
-        if let Kind::Control(id) = &ask.kind {
+    fn place(&self, request: &ConnRequest, need: Need, now: Time) -> Option<InstanceId> {
+        if let Kind::Control(id) = &request.kind {
             let instance = self.instances.get(id)?;
             let mut limits = self.limits();
             limits.most += 1;
@@ -152,7 +152,7 @@
             };
             holds
                 && i.serves_reads(now)
-                && ask.avoid.as_ref() != Some(i.id())
+                && request.avoid.as_ref() != Some(i.id())
                 && (i.has_idle() || i.may_open(limits, now) || i.opening() > 0)
         });
         usable
@@ -182,6 +182,6 @@
         instance,
         conn,
         after,
-        prove: matches!(kind, Kind::Read(_)) && need == Need::Primary,
+        verify_primary: matches!(kind, Kind::Read(_)) && need == Need::Primary,
     }
 }
--- a/crates/policy/tests/pool.rs
+++ b/crates/policy/tests/pool.rs
@@ -7,7 +7,7 @@
 use model::position::Point;
 use model::route::Guarantee;
 use model::unit::{Span, Time};
-use policy::pool::{Action, ConnRequest, Kind, OpenFault, Pool, Reason};
+use policy::pool::{Action, ConnRequest, Kind, OpenError, Pool, Reason};
 use policy::proof::Proof;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
@@ -36,15 +36,15 @@
     }
 }
 
-fn ask(kind: Kind, now: u64) -> ConnRequest {
+fn request(kind: Kind, now: u64) -> ConnRequest {
     ConnRequest {
         kind,
-        own: None,
+        own_write: None,
         arrived: at(now),
-        give_up: at(now + 800),
+        deadline: at(now + 800),
         priority: 1,
         avoid: None,
-        patient: false,
+        may_wait: false,
     }
 }
 
@@ -58,7 +58,7 @@
         since: at(1_000),
         point: Point::new(1, 7),
     };
-    pool.proved(&id("p"), proof);
+    pool.record_proof(&id("p"), proof);
     pool
 }
 
@@ -88,7 +88,7 @@
     for _ in 0..9 {
         let mut pool = pool(23, 9);
         for who in 0..60 {
-            opened += opens(&pool.ask(ask(Kind::Write, 1_100), who, at(1_100))).len();
+            opened += opens(&pool.request(request(Kind::Write, 1_100), who, at(1_100))).len();
         }
     }
     assert!((18..=27).contains(&opened), "{opened} connections");
@@ -100,10 +100,10 @@
 fn a_full_instance_is_not_asked_again_at_once() {
     let mut pool = pool(34, 6);
     for who in 0..3 {
-        pool.ask(ask(Kind::Write, 1_100), who, at(1_100));
+        pool.request(request(Kind::Write, 1_100), who, at(1_100));
     }
     for _ in 0..3 {
-        pool.opened(&id("p"), Err(OpenFault::Full), at(1_110));
+        pool.open_completed(&id("p"), Err(OpenError::Full), at(1_110));
     }
     assert!(opens(&pool.tick(at(1_200))).is_empty());
     assert_eq!(opens(&pool.tick(at(1_650))).len(), 1);
@@ -114,7 +114,7 @@
 #[test]
 fn reads_leave_the_primary_to_writes() {
     let mut pool = pool(34, 6);
-    let open = opens(&pool.ask(ask(Kind::Read(AGE), 1_100), 1, at(1_100)));
+    let open = opens(&pool.request(request(Kind::Read(AGE), 1_100), 1, at(1_100)));
     assert!(open == [id("a")] || open == [id("b")], "{open:?}");
 }
 
@@ -126,15 +126,15 @@
     let (mut slow, mut all) = (0, 0);
     for n in 0..200_u32 {
         let now = at(1_100 + u64::from(n));
-        let mut actions = pool.ask(ask(Kind::Read(AGE), 1_100), n, now);
+        let mut actions = pool.request(request(Kind::Read(AGE), 1_100), n, now);
         for instance in opens(&actions) {
-            actions.extend(pool.opened(&instance, Ok(n), now));
+            actions.extend(pool.open_completed(&instance, Ok(n), now));
         }
         for (_, instance) in granted(&actions) {
             let took = if instance == id("a") { 150 } else { 30 };
             slow += u32::from(instance == id("a"));
             all += 1;
-            pool.give_back(&instance, Some(n), Some(Span::from_millis(took)), now);
+            pool.release(&instance, Some(n), Some(Span::from_millis(took)), now);
         }
     }
     assert!(all >= 150, "{all} served");
@@ -148,15 +148,15 @@
 fn a_refusal_lowers_what_is_in_flight() {
     let mut pool = pool(300, 6);
     for n in 0..6 {
-        for instance in opens(&pool.ask(ask(Kind::Read(AGE), 1_100), n, at(1_100))) {
-            pool.opened(&instance, Ok(n), at(1_100));
+        for instance in opens(&pool.request(request(Kind::Read(AGE), 1_100), n, at(1_100))) {
+            pool.open_completed(&instance, Ok(n), at(1_100));
         }
     }
-    let lent = |pool: &Pool<u32, u32>, name| pool.instance(&id(name)).unwrap().lent();
+    let lent = |pool: &Pool<u32, u32>, name| pool.instance(&id(name)).unwrap().checked_out();
     let full = if lent(&pool, "a") > 0 { "a" } else { "b" };
-    pool.refused(&id(full), at(1_101));
+    pool.record_overload(&id(full), at(1_101));
     let before = lent(&pool, full);
-    pool.ask(ask(Kind::Read(AGE), 1_101), 9, at(1_101));
+    pool.request(request(Kind::Read(AGE), 1_101), 9, at(1_101));
     assert_eq!(lent(&pool, full), before);
 }
 
@@ -166,11 +166,11 @@
 fn a_read_that_lagging_replicas_cannot_serve_goes_to_the_primary() {
     let mut pool = pool(300, 6);
     for name in ["a", "b"] {
-        pool.lacks(&id(name), Point::new(1, 7), at(1_090));
+        pool.record_lack(&id(name), Point::new(1, 7), at(1_090));
     }
-    let open = opens(&pool.ask(ask(Kind::Read(AGE), 1_100), 1, at(1_100)));
+    let open = opens(&pool.request(request(Kind::Read(AGE), 1_100), 1, at(1_100)));
     assert_eq!(open, [id("p")]);
-    let later = opens(&pool.ask(ask(Kind::Read(AGE), 1_300), 2, at(1_300)));
+    let later = opens(&pool.request(request(Kind::Read(AGE), 1_300), 2, at(1_300)));
     assert_ne!(later, [id("p")], "a replica is tried again after a while");
 }
 
@@ -180,12 +180,12 @@
 fn the_coordinator_goes_first() {
     let mut pool = pool(2, 1);
     for n in 0..5 {
-        for instance in opens(&pool.ask(ask(Kind::Write, 1_100), n, at(1_100))) {
-            pool.opened(&instance, Ok(n), at(1_100));
+        for instance in opens(&pool.request(request(Kind::Write, 1_100), n, at(1_100))) {
+            pool.open_completed(&instance, Ok(n), at(1_100));
         }
     }
-    pool.ask(ask(Kind::Control(id("p")), 1_101), 77, at(1_101));
-    let actions = pool.give_back(&id("p"), Some(0), None, at(1_102));
+    pool.request(request(Kind::Control(id("p")), 1_101), 77, at(1_101));
+    let actions = pool.release(&id("p"), Some(0), None, at(1_102));
     assert_eq!(granted(&actions), [(77, id("p"))]);
 }
 
@@ -194,11 +194,14 @@
 #[test]
 fn a_write_without_a_primary_is_refused_in_time() {
     let mut pool = pool(34, 6);
-    pool.disproved(&id("p"));
-    assert!(pool.ask(ask(Kind::Write, 1_100), 1, at(1_100)).is_empty());
+    pool.clear_primary(&id("p"));
+    assert!(
+        pool.request(request(Kind::Write, 1_100), 1, at(1_100))
+            .is_empty()
+    );
     assert_eq!(pool.next_tick(), Some(at(1_900)));
     let actions = pool.tick(at(1_900));
-    let [Action::Refuse(1, refused)] = &actions[..] else {
+    let [Action::Reject(1, refused)] = &actions[..] else {
         panic!("{actions:?}");
     };
     assert_eq!(refused.reason, Reason::NoPrimary);
@@ -211,13 +214,16 @@
 #[test]
 fn without_a_primary_for_long_writes_are_refused_at_once() {
     let mut pool = pool(34, 6);
-    pool.disproved(&id("p"));
-    assert!(pool.ask(ask(Kind::Write, 1_100), 1, at(1_100)).is_empty());
+    pool.clear_primary(&id("p"));
+    assert!(
+        pool.request(request(Kind::Write, 1_100), 1, at(1_100))
+            .is_empty()
+    );
     pool.tick(at(1_900));
-    let actions = pool.ask(ask(Kind::Write, 3_700), 2, at(3_700));
-    assert!(matches!(actions[..], [Action::Refuse(2, _)]), "{actions:?}");
+    let actions = pool.request(request(Kind::Write, 3_700), 2, at(3_700));
+    assert!(matches!(actions[..], [Action::Reject(2, _)]), "{actions:?}");
     let old = Guarantee::Bounded(Span::from_millis(5_000));
-    let read = pool.ask(ask(Kind::Read(old), 3_700), 3, at(3_700));
+    let read = pool.request(request(Kind::Read(old), 3_700), 3, at(3_700));
     assert_eq!(opens(&read).len(), 1);
 }
 
@@ -226,9 +232,9 @@
 #[test]
 fn connections_to_an_earlier_process_are_closed() {
     let mut pool = pool(34, 6);
-    pool.ask(ask(Kind::Write, 1_100), 1, at(1_100));
-    pool.opened(&id("p"), Ok(1), at(1_101));
-    pool.give_back(&id("p"), Some(1), None, at(1_102));
+    pool.request(request(Kind::Write, 1_100), 1, at(1_100));
+    pool.open_completed(&id("p"), Ok(1), at(1_101));
+    pool.release(&id("p"), Some(1), None, at(1_102));
     let mut restarted = entry("p");
     restarted.born = 2;
     let entries = [restarted, entry("a"), entry("b")];
@@ -238,7 +244,7 @@
 
 #[derive(Clone, Copy, Debug)]
 enum Event {
-    Ask(bool),
+    Request(bool),
     Open(bool),
     Return(bool),
     Pass(u64),
@@ -249,7 +255,7 @@
 
 fn event() -> impl Strategy<Value = Event> {
     prop_oneof![
-        6 => any::<bool>().prop_map(Event::Ask),
+        6 => any::<bool>().prop_map(Event::Request),
         5 => prop::bool::weighted(0.8).prop_map(Event::Open),
         5 => prop::bool::weighted(0.9).prop_map(Event::Return),
         3 => (1..600_u64).prop_map(Event::Pass),
@@ -279,7 +285,7 @@
                     prop_assert!(!twice, "connection {} was lent twice", grant.conn);
                     self.lent.push((grant.instance, grant.conn));
                 }
-                Action::Refuse(who, refused) => {
+                Action::Reject(who, refused) => {
                     prop_assert!(self.waiting.remove(&who), "{who} was answered twice");
                     prop_assert!(refused.retry_after > Span::default());
                 }
@@ -317,22 +323,22 @@
         for event in events {
             next += 1;
             let actions = match event {
-                Event::Ask(write) => {
+                Event::Request(write) => {
                     oracle.waiting.insert(next);
                     let kind = if write { Kind::Write } else { Kind::Read(AGE) };
-                    pool.ask(ask(kind, now), next, at(now))
+                    pool.request(request(kind, now), next, at(now))
                 }
                 Event::Open(ok) => match oracle.opening.pop() {
                     Some(id) => {
-                        let result = if ok { Ok(next) } else { Err(OpenFault::Full) };
-                        pool.opened(&id, result, at(now))
+                        let result = if ok { Ok(next) } else { Err(OpenError::Full) };
+                        pool.open_completed(&id, result, at(now))
                     }
                     None => Vec::new(),
                 },
                 Event::Return(ok) => match oracle.lent.pop() {
                     Some((id, conn)) => {
                         let took = Some(Span::from_millis(u64::from(conn % 50)));
-                        pool.give_back(&id, ok.then_some(conn), took, at(now))
+                        pool.release(&id, ok.then_some(conn), took, at(now))
                     }
                     None => Vec::new(),
                 },
@@ -341,7 +347,7 @@
                     pool.tick(at(now))
                 }
                 Event::Refused => {
-                    pool.refused(&id("a"), at(now));
+                    pool.record_overload(&id("a"), at(now));
                     Vec::new()
                 }
                 Event::Gone => pool.set_entries(&[entry("p"), entry("a")], |_| Span::from_millis(1), at(now)),
@@ -368,16 +374,16 @@
             since: at(n * 100),
             point: Point::new(1, n),
         };
-        pool.proved(&id("p"), proof);
+        pool.record_proof(&id("p"), proof);
     }
-    pool.ask(ask(Kind::Read(AGE), end), 1, at(end));
+    pool.request(request(Kind::Read(AGE), end), 1, at(end));
     pool
 }
 
 /// A replica refuses a read for which its log is too short, and shows where its log ends.
 fn lags(pool: &mut Pool<u32, u32>, name: &str, shown: u64, now: u64) {
-    pool.lacks(&id(name), Point::new(1, now / 100), at(now));
-    pool.showed(&id(name), Point::new(1, shown));
+    pool.record_lack(&id(name), Point::new(1, now / 100), at(now));
+    pool.record_log_end(&id(name), Point::new(1, shown));
 }
 
 /// Load: both replicas apply the log many seconds late, and go on doing so long after the
@@ -390,7 +396,7 @@
     lags(&mut pool, "b", 30, 5_000);
     pool.tick(at(5_010));
     pool.tick(at(5_310));
-    assert_eq!(pool.lags_for(at(5_310)), Some(Span::from_millis(300)));
+    assert_eq!(pool.lagging_for(at(5_310)), Some(Span::from_millis(300)));
 }
 
 /// One replica lags, and the other holds what reads of that age need although it refused
@@ -401,7 +407,7 @@
     lags(&mut pool, "a", 20, 5_000);
     lags(&mut pool, "b", 45, 5_000);
     pool.tick(at(5_010));
-    assert_eq!(pool.lags_for(at(5_010)), None);
+    assert_eq!(pool.lagging_for(at(5_010)), None);
 }
 
 /// A proxy that has just begun to look at a group knows nothing of the log of two seconds
@@ -413,12 +419,12 @@
         since: at(5_000),
         point: Point::new(1, 50),
     };
-    pool.proved(&id("p"), proof);
-    pool.ask(ask(Kind::Read(AGE), 5_010), 1, at(5_010));
+    pool.record_proof(&id("p"), proof);
+    pool.request(request(Kind::Read(AGE), 5_010), 1, at(5_010));
     lags(&mut pool, "a", 49, 5_020);
     lags(&mut pool, "b", 49, 5_020);
     pool.tick(at(5_030));
-    assert_eq!(pool.lags_for(at(5_030)), None);
+    assert_eq!(pool.lagging_for(at(5_030)), None);
 }
 
 /// Replicas that were refused half a second ago and not asked since are not judged.
@@ -428,12 +434,12 @@
     lags(&mut pool, "a", 20, 4_400);
     lags(&mut pool, "b", 30, 4_400);
     pool.tick(at(5_010));
-    assert_eq!(pool.lags_for(at(5_010)), None);
+    assert_eq!(pool.lagging_for(at(5_010)), None);
 }
 
-fn refused(actions: &[Action<u32, u32>]) -> Vec<(u32, Reason)> {
+fn rejected(actions: &[Action<u32, u32>]) -> Vec<(u32, Reason)> {
     let refuse = |a: &Action<u32, u32>| match a {
-        Action::Refuse(who, refused) => Some((*who, refused.reason)),
+        Action::Reject(who, refused) => Some((*who, refused.reason)),
         _ => None,
     };
     actions.iter().filter_map(refuse).collect()
@@ -445,17 +451,20 @@
 #[test]
 fn a_primary_without_a_free_connection_is_out_of_reach() {
     let mut pool = pool(34, 6);
-    pool.ask(ask(Kind::Write, 1_100), 1, at(1_100));
-    pool.opened(&id("p"), Err(OpenFault::Full), at(1_110));
-    let actions = pool.ask(ask(Kind::Write, 1_120), 2, at(1_120));
-    assert_eq!(refused(&actions), [(2, Reason::OutOfReach)]);
+    pool.request(request(Kind::Write, 1_100), 1, at(1_100));
+    pool.open_completed(&id("p"), Err(OpenError::Full), at(1_110));
+    let actions = pool.request(request(Kind::Write, 1_120), 2, at(1_120));
+    assert_eq!(rejected(&actions), [(2, Reason::Unreachable)]);
     // Who tried other proxies in vain waits here, and so does who came before.
-    let mut patient = ask(Kind::Write, 1_120);
-    patient.patient = true;
-    assert!(refused(&pool.ask(patient, 3, at(1_120))).is_empty());
+    let mut may_wait = request(Kind::Write, 1_120);
+    may_wait.may_wait = true;
+    assert!(rejected(&pool.request(may_wait, 3, at(1_120))).is_empty());
     // Another proxy was found: all go there.
-    let released = refused(&pool.release(at(1_130)));
-    assert_eq!(released, [(1, Reason::OutOfReach), (3, Reason::OutOfReach)]);
+    let released = rejected(&pool.reject_unreachable(at(1_130)));
+    assert_eq!(
+        released,
+        [(1, Reason::Unreachable), (3, Reason::Unreachable)]
+    );
 }
 
 /// A primary that was just lost is lost to every proxy: a change takes a second, and a
@@ -464,12 +473,12 @@
 #[test]
 fn a_lost_primary_is_out_of_reach_after_a_while() {
     let mut pool = pool(34, 6);
-    pool.disproved(&id("p"));
+    pool.clear_primary(&id("p"));
     pool.tick(at(2_000));
-    let early = pool.ask(ask(Kind::Write, 2_100), 1, at(2_100));
-    assert!(refused(&early).is_empty());
-    let later = pool.ask(ask(Kind::Write, 2_400), 2, at(2_400));
-    assert_eq!(refused(&later), [(2, Reason::OutOfReach)]);
+    let early = pool.request(request(Kind::Write, 2_100), 1, at(2_100));
+    assert!(rejected(&early).is_empty());
+    let later = pool.request(request(Kind::Write, 2_400), 2, at(2_400));
+    assert_eq!(rejected(&later), [(2, Reason::Unreachable)]);
 }
 
 /// A cut leaves this proxy without the two instances that hold what a read needs, and with
@@ -477,18 +486,18 @@
 #[test]
 fn reads_are_out_of_reach_where_only_a_lagging_instance_is_left() {
     let mut pool = pool(34, 6);
-    pool.ask(ask(Kind::Read(AGE), 1_100), 1, at(1_100));
+    pool.request(request(Kind::Read(AGE), 1_100), 1, at(1_100));
     for name in ["p", "a"] {
-        pool.opened(&id(name), Err(OpenFault::Unreachable), at(1_110));
+        pool.open_completed(&id(name), Err(OpenError::Unreachable), at(1_110));
     }
-    pool.opened(&id("b"), Ok(1), at(1_110));
-    pool.lacks(&id("b"), Point::new(1, 7), at(1_120));
-    let actions = pool.ask(ask(Kind::Read(AGE), 1_130), 2, at(1_130));
-    assert_eq!(refused(&actions), [(2, Reason::OutOfReach)]);
+    pool.open_completed(&id("b"), Ok(1), at(1_110));
+    pool.record_lack(&id("b"), Point::new(1, 7), at(1_120));
+    let actions = pool.request(request(Kind::Read(AGE), 1_130), 2, at(1_130));
+    assert_eq!(rejected(&actions), [(2, Reason::Unreachable)]);
     // Once it shows what is needed, it serves.
-    pool.showed(&id("b"), Point::new(1, 7));
-    let actions = pool.ask(ask(Kind::Read(AGE), 1_140), 3, at(1_140));
-    assert!(refused(&actions).is_empty());
+    pool.record_log_end(&id("b"), Point::new(1, 7));
+    let actions = pool.request(request(Kind::Read(AGE), 1_140), 3, at(1_140));
+    assert!(rejected(&actions).is_empty());
 }
 
 /// Load: all VMs lose power with their connections open, which the instances keep for three
@@ -500,11 +509,11 @@
 fn idle_connections_leave_room_for_a_restart(connections: u32, proxies: u32, kept: usize) {
     let mut pool = pool(connections, proxies);
     for n in 0..6 {
-        pool.ask(ask(Kind::Write, 1_100), n, at(1_100));
-        pool.opened(&id("p"), Ok(n), at(1_100));
+        pool.request(request(Kind::Write, 1_100), n, at(1_100));
+        pool.open_completed(&id("p"), Ok(n), at(1_100));
     }
     for n in 0..6 {
-        pool.give_back(&id("p"), Some(n), None, at(1_200));
+        pool.release(&id("p"), Some(n), None, at(1_200));
     }
     for tick in 0..10 {
         pool.tick(at(1_700 + tick * 50));
--- a/crates/policy/tests/pool_age.rs
+++ b/crates/policy/tests/pool_age.rs
@@ -33,12 +33,12 @@
 
 /// A pool with idle connections, given back in this order.
 fn pool(opened: &[u64]) -> Conns {
-    let mut pool = Conns::new().by_age(|opened| at(*opened));
+    let mut pool = Conns::new().prefer_oldest(|opened| at(*opened));
     pool.set_shares(9, 9, true);
     pool.set_entries(&[entry(false)], |_| Span::from_millis(1), at(0));
     for conn in opened {
         pool.begin_open(&id(), at(0));
-        pool.opened(&id(), Ok(*conn), at(10));
+        pool.open_completed(&id(), Ok(*conn), at(10));
     }
     pool
 }
@@ -51,15 +51,15 @@
     actions.iter().filter_map(close).collect()
 }
 
-fn ask() -> ConnRequest {
+fn request() -> ConnRequest {
     ConnRequest {
         kind: Kind::Control(id()),
-        own: None,
+        own_write: None,
         arrived: at(20),
-        give_up: at(100),
+        deadline: at(100),
         priority: 0,
         avoid: None,
-        patient: true,
+        may_wait: true,
     }
 }
 
@@ -74,14 +74,14 @@
 #[test]
 fn the_connection_opened_first_is_used_first() {
     let mut pool = pool(&[5, 3, 4]);
-    assert_eq!(granted(pool.ask(ask(), 1, at(20))), Some(3));
+    assert_eq!(granted(pool.request(request(), 1, at(20))), Some(3));
 }
 
 /// Guards against a replica without a connection that counts when the one that proved writes
 /// becomes the primary: the owner asks for as long as the oldest one is new.
 #[test]
 fn the_oldest_connection_of_each_replica_is_known() {
-    let oldest: Vec<_> = pool(&[5, 3, 4]).oldest().collect();
+    let oldest: Vec<_> = pool(&[5, 3, 4]).oldest_per_replica().collect();
     assert_eq!(oldest, [at(3)]);
 }
 
@@ -90,33 +90,33 @@
 #[test]
 fn a_lent_connection_still_counts_by_its_age() {
     let mut pool = pool(&[3, 5]);
-    let lent = granted(pool.ask(ask(), 1, at(20)));
+    let lent = granted(pool.request(request(), 1, at(20)));
     assert_eq!(lent, Some(3));
-    assert_eq!(pool.oldest().collect::<Vec<_>>(), [at(3)]);
-    pool.give_back(&id(), lent, None, at(30));
-    assert_eq!(pool.oldest().collect::<Vec<_>>(), [at(3)]);
+    assert_eq!(pool.oldest_per_replica().collect::<Vec<_>>(), [at(3)]);
+    pool.release(&id(), lent, None, at(30));
+    assert_eq!(pool.oldest_per_replica().collect::<Vec<_>>(), [at(3)]);
 }
 
 /// Guards against a connection that broke on loan and is taken for one that still counts.
 #[test]
 fn a_connection_that_breaks_on_loan_counts_no_longer() {
     let mut pool = pool(&[3, 5]);
-    pool.ask(ask(), 1, at(20));
-    pool.give_back(&id(), None, None, at(30));
-    assert_eq!(pool.oldest().collect::<Vec<_>>(), [at(5)]);
+    pool.request(request(), 1, at(20));
+    pool.release(&id(), None, None, at(30));
+    assert_eq!(pool.oldest_per_replica().collect::<Vec<_>>(), [at(5)]);
 }
 
 /// The same, where it is not known yet that it broke: its instance has started again.
 #[test]
 fn a_connection_on_loan_to_an_earlier_process_counts_no_longer() {
     let mut pool = pool(&[3, 5]);
-    pool.ask(ask(), 1, at(20));
+    pool.request(request(), 1, at(20));
     let restarted = Entry {
         born: 2,
         ..entry(false)
     };
     pool.set_entries(&[restarted], |_| Span::from_millis(1), at(30));
-    assert_eq!(pool.oldest().collect::<Vec<_>>(), [at(30)]);
+    assert_eq!(pool.oldest_per_replica().collect::<Vec<_>>(), [at(30)]);
 }
 
 /// The same, where one too many is idle.
@@ -138,7 +138,7 @@
     assert_eq!(closed, [4, 5]);
 }
 
-fn opened(actions: &[Action<u64, u32>]) -> usize {
+fn count_opens(actions: &[Action<u64, u32>]) -> usize {
     let open = |a: &&Action<u64, u32>| matches!(a, Action::Open(_));
     actions.iter().filter(open).count()
 }
@@ -148,25 +148,29 @@
 /// connection to them that counts.
 #[test]
 fn a_replica_that_is_announced_late_is_connected_to() {
-    let mut pool = Conns::new().by_age(|opened| at(*opened));
+    let mut pool = Conns::new().prefer_oldest(|opened| at(*opened));
     pool.set_shares(9, 9, true);
     pool.set_entries(&[entry(false)], |_| Span::from_millis(1), at(0));
-    assert_eq!(opened(&pool.connect(at(10))), 1);
-    assert_eq!(opened(&pool.connect(at(20))), 0, "it is on the way");
-    pool.opened(&id(), Ok(15), at(30));
-    assert_eq!(opened(&pool.connect(at(40))), 0);
+    assert_eq!(count_opens(&pool.open_missing(at(10))), 1);
+    assert_eq!(
+        count_opens(&pool.open_missing(at(20))),
+        0,
+        "it is on the way"
+    );
+    pool.open_completed(&id(), Ok(15), at(30));
+    assert_eq!(count_opens(&pool.open_missing(at(40))), 0);
 }
 
 /// Guards against connections that nobody uses: to an instance that leaves, or of a proxy that
 /// borrows.
 #[test]
 fn who_does_not_need_a_connection_opens_none() {
-    let mut pool = Conns::new().by_age(|opened| at(*opened));
+    let mut pool = Conns::new().prefer_oldest(|opened| at(*opened));
     pool.set_entries(&[entry(true)], |_| Span::from_millis(1), at(0));
-    assert_eq!(opened(&pool.connect(at(10))), 0);
+    assert_eq!(count_opens(&pool.open_missing(at(10))), 0);
     pool.set_entries(&[entry(false)], |_| Span::from_millis(1), at(20));
     pool.set_shares(9, 9, false);
-    assert_eq!(opened(&pool.connect(at(30))), 0);
+    assert_eq!(count_opens(&pool.open_missing(at(30))), 0);
 }
 
 /// Guards against writes on an instance that is about to end: the proxy was cut off from the
@@ -178,16 +182,16 @@
         since: at(12),
         point: Point::new(1, 7),
     };
-    pool.proved(&id(), proof);
+    pool.record_proof(&id(), proof);
     pool.set_entries_since(&[entry(true)], |_| Span::from_millis(1), at(100), at(3_100));
     let write = |now| ConnRequest {
         kind: Kind::Write,
         arrived: at(now),
-        give_up: at(now + 100),
-        ..ask()
+        deadline: at(now + 100),
+        ..request()
     };
-    let lent = granted(pool.ask(write(5_000), 1, at(5_000)));
+    let lent = granted(pool.request(write(5_000), 1, at(5_000)));
     assert_eq!(lent, Some(3), "another one may not lead yet");
-    pool.give_back(&id(), lent, None, at(5_050));
-    assert_eq!(granted(pool.ask(write(5_200), 2, at(5_200))), None);
+    pool.release(&id(), lent, None, at(5_050));
+    assert_eq!(granted(pool.request(write(5_200), 2, at(5_200))), None);
 }
--- a/crates/policy/tests/pool_restart.rs
+++ b/crates/policy/tests/pool_restart.rs
@@ -5,7 +5,7 @@
 use model::id::InstanceId;
 use model::position::Point;
 use model::unit::{Span, Time};
-use policy::pool::{Action, ConnRequest, Kind, OpenFault, Pool};
+use policy::pool::{Action, ConnRequest, Kind, OpenError, Pool};
 use policy::proof::Proof;
 
 /// Connections that the instance accepts, and proxies that share them.
@@ -43,19 +43,19 @@
         since: at(0),
         point: Point::new(1, 7),
     };
-    pool.proved(&id(), proof);
+    pool.record_proof(&id(), proof);
     pool
 }
 
-fn ask() -> ConnRequest {
+fn request() -> ConnRequest {
     ConnRequest {
         kind: Kind::Write,
-        own: None,
+        own_write: None,
         arrived: at(0),
-        give_up: at(60_000),
+        deadline: at(60_000),
         priority: 1,
         avoid: None,
-        patient: true,
+        may_wait: true,
     }
 }
 
@@ -71,7 +71,7 @@
     let mut refused = 0;
     for pool in &mut pools {
         for who in 0..CONNECTIONS / PROXIES {
-            pool.ask(ask(), who, at(0));
+            pool.request(request(), who, at(0));
         }
     }
     let mut taken = 0;
@@ -88,10 +88,10 @@
         for (pool, opening) in pools.iter_mut().zip(&mut opening) {
             for _ in 0..std::mem::take(opening) {
                 let full = held + taken >= CONNECTIONS;
-                let result = if full { Err(OpenFault::Full) } else { Ok(()) };
+                let result = if full { Err(OpenError::Full) } else { Ok(()) };
                 taken += u32::from(!full);
                 refused += u32::from(full);
-                let actions = pool.opened(&id(), result, at(now));
+                let actions = pool.open_completed(&id(), result, at(now));
                 *opening += opens(&actions) as u32;
             }
             *opening += opens(&pool.tick(at(now))) as u32;
