--- a/crates/load/src/saturation/discipline.rs
+++ b/crates/load/src/saturation/discipline.rs
@@ -5,9 +5,9 @@
 use indexmap::IndexMap;
 use model::id::InstanceId;
 use model::unit::Time;
-use policy::admission::{self, Admission, End, Limits};
-use policy::outlier::{Scores, Standing};
-use policy::queue::{Key, Ticket};
+use policy::admission::{self, Admission, Completion, Limits};
+use policy::outlier::{Eligibility, LatencyScores};
+use policy::queue::{Key, Request};
 use policy::{service_time, slots};
 use rand::SeedableRng as _;
 use rand::rngs::SmallRng;
@@ -121,7 +121,7 @@
 /// The policy: an admission per server, and scores to choose among them.
 pub struct Fair {
     admissions: Vec<Admission>,
-    scores: Scores,
+    scores: LatencyScores,
     names: Vec<InstanceId>,
     waiting: IndexMap<(usize, Key), usize>,
     running: IndexMap<usize, (usize, Key, Time)>,
@@ -133,8 +133,8 @@
         let limits = Limits {
             share: slots::Share {
                 slots: workload::SLOTS,
-                shared: setup.shared,
-                held: setup.held,
+                total_connections: setup.shared,
+                connections: setup.held,
                 round_trip: workload::LINK.times(2),
             },
             queue: 2_000,
@@ -142,7 +142,7 @@
         let name = |at: usize| format!("db-{at}").parse().expect("a plain identifier");
         Self {
             admissions: (0..setup.servers).map(|_| Admission::new(limits)).collect(),
-            scores: Scores::default(),
+            scores: LatencyScores::default(),
             names: (0..setup.servers).map(name).collect(),
             waiting: IndexMap::new(),
             running: IndexMap::new(),
@@ -153,23 +153,25 @@
     fn enter(&mut self, request: usize, arrival: &Arrival, now: Time) -> Vec<Action> {
         let ticket = ticket(arrival);
         let server = self.choose(&ticket, now);
-        let (key, actions) = self.admissions[server].enter(ticket, now, &mut self.rng);
+        let (key, actions) = self.admissions[server].submit(ticket, now, &mut self.rng);
         self.waiting.insert((server, key), request);
         self.perform(server, actions, now)
     }
 
-    fn choose(&mut self, ticket: &Ticket, now: Time) -> usize {
-        let mut best = (Standing::Shed, u64::MAX, 0);
+    fn choose(&mut self, ticket: &Request, now: Time) -> usize {
+        let mut best = (Eligibility::Ejected, u64::MAX, 0);
         for (server, name) in self.names.iter().enumerate() {
-            let standing = self.scores.standing(name, now);
-            if standing == Standing::Trial {
+            let standing = self.scores.eligibility(name, now);
+            if standing == Eligibility::Trial {
                 return server;
             }
             let admission = &self.admissions[server];
-            let service = admission.times().expect(&ticket.class, ticket.shape);
-            let wait = admission.wait(ticket, now).as_micros() + service.as_micros();
+            let service = admission
+                .service_times()
+                .expected(&ticket.class, ticket.shape);
+            let wait = admission.expected_wait(ticket, now).as_micros() + service.as_micros();
             let better = best.0 == standing && wait < best.1;
-            if better || (best.0 == Standing::Shed && standing == Standing::Open) {
+            if better || (best.0 == Eligibility::Ejected && standing == Eligibility::Normal) {
                 best = (standing, wait, server);
             }
         }
@@ -181,8 +183,9 @@
             return Vec::new();
         };
         let name = &self.names[server];
-        self.scores.answered(name, since, now, &mut self.rng);
-        let actions = self.admissions[server].finished(key, End::Answered, now);
+        self.scores
+            .response_received(name, since, now, &mut self.rng);
+        let actions = self.admissions[server].finished(key, Completion::Responded, now);
         self.perform(server, actions, now)
     }
 
@@ -216,7 +219,7 @@
                     self.scores.started(&self.names[server], now);
                     out.push(Action::Start { request, server });
                 }
-                admission::Action::Refuse(key, _) => {
+                admission::Action::Reject(key, _) => {
                     let request = self.waiting.swap_remove(&(server, key));
                     out.extend(request.map(Action::Refuse));
                 }
@@ -226,9 +229,9 @@
     }
 }
 
-fn ticket(arrival: &Arrival) -> Ticket {
+fn ticket(arrival: &Arrival) -> Request {
     let name = format!("caller-{}", arrival.caller);
-    Ticket {
+    Request {
         caller: name.parse().expect("a plain identifier"),
         weight: 1,
         class: arrival.kind.name().parse().expect("a plain identifier"),
--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -7,8 +7,8 @@
 use model::unit::{Span, Time};
 use rand::Rng;
 
-use crate::queue::{self, Key, Ticket};
-use crate::service_time::{Length, Times};
+use crate::queue::{self, Key, Request};
+use crate::service_time::{Length, ServiceTimes};
 use crate::slots::{self, Slots};
 
 /// Smallest hint to come back, so that a refused caller cannot spin.
@@ -40,7 +40,7 @@
 /// A request that was given up before it ran.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{reason}; retry after {} ms", retry_after.as_millis())]
-pub struct Refused {
+pub struct Rejection {
     /// Why.
     pub reason: Reason,
     /// When a new attempt is likely to be admitted.
@@ -53,14 +53,14 @@
     /// It holds a slot: send it.
     Start(Key),
     /// Answer it now.
-    Refuse(Key, Refused),
+    Reject(Key, Rejection),
 }
 
 /// How a started request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum Completion {
     /// An answer came; its time is learned from.
-    Answered,
+    Responded,
     /// It failed or was cancelled; its time says nothing about the server.
     Failed,
 }
@@ -87,7 +87,7 @@
 pub struct Admission {
     queue: queue::Queue,
     slots: Slots,
-    times: Times,
+    times: ServiceTimes,
     running: IndexMap<Key, Running>,
     most: usize,
     next: u64,
@@ -99,7 +99,7 @@
         Self {
             queue: queue::Queue::default(),
             slots: Slots::new(limits.share),
-            times: Times::default(),
+            times: ServiceTimes::default(),
             running: IndexMap::new(),
             most: limits.queue as usize,
             next: 0,
@@ -114,8 +114,8 @@
     }
 
     /// Begins the slow start of a server that came back.
-    pub fn returned(&mut self, now: Time) {
-        self.slots.returned(now);
+    pub fn server_recovered(&mut self, now: Time) {
+        self.slots.server_recovered(now);
     }
 
     /// Requests waiting.
@@ -124,8 +124,8 @@
     }
 
     /// Work in flight.
-    pub fn busy(&self) -> u32 {
-        self.slots.busy()
+    pub fn in_flight(&self) -> u32 {
+        self.slots.in_flight()
     }
 
     /// Work that may be in flight.
@@ -133,52 +133,57 @@
         self.slots.limit(self.times.median(), now)
     }
 
-    fn fits(&self, ticket: &Ticket, now: Time) -> bool {
-        let room = self.slots.room(self.times.median(), now);
-        let urgent = ticket.class_weight >= queue::URGENT_WEIGHT;
-        let short = self.times.length(&ticket.class, ticket.shape) == Length::Short;
-        room.any && (room.ordinary || urgent) && (room.long || short)
+    fn fits(&self, request: &Request, now: Time) -> bool {
+        let capacity = self.slots.capacity(self.times.median(), now);
+        let urgent = request.class_weight >= queue::URGENT_WEIGHT;
+        let short = self.times.length(&request.class, request.shape) == Length::Short;
+        capacity.any && (capacity.ordinary || urgent) && (capacity.long || short)
     }
 
     /// The learned service times.
-    pub fn times(&self) -> &Times {
+    pub fn service_times(&self) -> &ServiceTimes {
         &self.times
     }
 
     /// Expected time until a new request of this kind would start.
-    pub fn wait(&self, ticket: &Ticket, now: Time) -> Span {
-        let forecast = self.forecast(ticket, now);
-        let length = self.times.length(&ticket.class, ticket.shape);
-        let bias = self.queue.bias(ticket, length);
+    pub fn expected_wait(&self, request: &Request, now: Time) -> Span {
+        let forecast = self.forecast(request, now);
+        let length = self.times.length(&request.class, request.shape);
+        let bias = self.queue.bias(request, length);
         Span::from_micros((forecast.as_micros() as f64 * bias) as u64)
     }
 
     /// What the backlog alone suggests.
-    fn forecast(&self, ticket: &Ticket, now: Time) -> Span {
-        let cost = self.times.expect(&ticket.class, ticket.shape);
-        if self.queue.is_empty() && self.fits(ticket, now) {
+    fn forecast(&self, request: &Request, now: Time) -> Span {
+        let cost = self.times.expected(&request.class, request.shape);
+        if self.queue.is_empty() && self.fits(request, now) {
             return Span::default();
         }
-        let ahead = self.queue.ahead_of(ticket, cost).as_micros();
+        let ahead = self.queue.ahead_of(request, cost).as_micros();
         let limit = u64::from(self.limit(now));
         Span::from_micros(ahead / limit + self.times.median().as_micros() / limit)
     }
 
     /// A new request; its key, and what is to be done now.
-    pub fn enter(&mut self, ticket: Ticket, now: Time, rng: &mut impl Rng) -> (Key, Vec<Action>) {
+    pub fn submit(
+        &mut self,
+        request: Request,
+        now: Time,
+        rng: &mut impl Rng,
+    ) -> (Key, Vec<Action>) {
         let key = Key(self.next);
         self.next += 1;
         let mut actions = self.expire(now, rng);
-        if let Some(refused) = self.door(&ticket, now, rng, &mut actions) {
-            actions.push(Action::Refuse(key, refused));
+        if let Some(refused) = self.door(&request, now, rng, &mut actions) {
+            actions.push(Action::Reject(key, refused));
             return (key, actions);
         }
-        let cost = self.times.expect(&ticket.class, ticket.shape);
-        let length = self.times.length(&ticket.class, ticket.shape);
-        let forecast = self.forecast(&ticket, now);
+        let cost = self.times.expected(&request.class, request.shape);
+        let length = self.times.length(&request.class, request.shape);
+        let forecast = self.forecast(&request, now);
         self.queue.push(queue::Entry {
             key,
-            ticket,
+            request,
             cost,
             length,
             since: now,
@@ -195,14 +200,14 @@
     /// answers that nobody reads and the caller learns late that it must retry.
     fn door(
         &mut self,
-        ticket: &Ticket,
+        request: &Request,
         now: Time,
         rng: &mut impl Rng,
         actions: &mut Vec<Action>,
-    ) -> Option<Refused> {
-        let cost = self.times.expect(&ticket.class, ticket.shape);
-        let wait = self.wait(ticket, now);
-        let left = ticket.deadline.since(now);
+    ) -> Option<Rejection> {
+        let cost = self.times.expected(&request.class, request.shape);
+        let wait = self.expected_wait(request, now);
+        let left = request.deadline.since(now);
         let caution = wait.as_micros() / CAUTION_DIVISOR;
         let needed = Span::from_micros(wait.as_micros() + caution + cost.as_micros());
         if needed > left {
@@ -210,17 +215,17 @@
             return Some(refused(Reason::Backlog, Span::from_micros(over), rng));
         }
         if self.queue.len() >= self.most {
-            let Some(pushed) = self.queue.push_out(&ticket.caller) else {
+            let Some(pushed) = self.queue.push_out(&request.caller) else {
                 return Some(refused(Reason::Full, wait, rng));
             };
             let refusal = refused(Reason::Full, wait, rng);
-            actions.push(Action::Refuse(pushed.key, refusal));
+            actions.push(Action::Reject(pushed.key, refusal));
         }
         None
     }
 
     /// A started request ended.
-    pub fn finished(&mut self, key: Key, end: End, now: Time) -> Vec<Action> {
+    pub fn finished(&mut self, key: Key, end: Completion, now: Time) -> Vec<Action> {
         let Some(run) = self.running.swap_remove(&key) else {
             return Vec::new();
         };
@@ -228,10 +233,10 @@
         let took = now.since(run.since);
         self.slots.advance(self.times.median(), now);
         self.slots.end(entry.length);
-        self.queue.settle(&entry.ticket, entry.cost, took);
-        if end == End::Answered {
-            let ticket = &entry.ticket;
-            self.times.record(&ticket.class, ticket.shape, took);
+        self.queue.settle(&entry.request, entry.cost, took);
+        if end == Completion::Responded {
+            let request = &entry.request;
+            self.times.record(&request.class, request.shape, took);
         }
         self.start_all(now)
     }
@@ -241,7 +246,7 @@
         if self.queue.remove(key).is_some() {
             return Vec::new();
         }
-        self.finished(key, End::Failed, now)
+        self.finished(key, Completion::Failed, now)
     }
 
     /// Gives up what can no longer finish in time, and starts what now may.
@@ -270,7 +275,7 @@
         let drain = Span::from_micros(self.queue.backlog().as_micros() / limit);
         let mut refuse = |e: queue::Entry| {
             let refusal = refused(Reason::Expired, drain, rng);
-            Action::Refuse(e.key, refusal)
+            Action::Reject(e.key, refusal)
         };
         expired.into_iter().map(&mut refuse).collect()
     }
@@ -280,9 +285,9 @@
         let latency = self.times.median();
         self.slots.advance(latency, now);
         loop {
-            let room = self.slots.room(latency, now);
-            let entry = if room.any {
-                self.queue.pop(room, now)
+            let capacity = self.slots.capacity(latency, now);
+            let entry = if capacity.any {
+                self.queue.pop(capacity, now)
             } else {
                 None
             };
@@ -301,10 +306,10 @@
 ///
 /// Load: a burst refused within one millisecond; harm: all of it comes back
 /// together and is refused again.
-fn refused(reason: Reason, base: Span, rng: &mut impl Rng) -> Refused {
+fn refused(reason: Reason, base: Span, rng: &mut impl Rng) -> Rejection {
     let base = base.clamp(MIN_RETRY, MAX_RETRY).as_micros();
     let spread = rng.random_range(0..=base / 2);
-    Refused {
+    Rejection {
         reason,
         retry_after: Span::from_micros(base + spread),
     }
--- a/crates/policy/src/outlier.rs
+++ b/crates/policy/src/outlier.rs
@@ -38,17 +38,17 @@
 
 /// Whether an instance should get a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum Eligibility {
     /// Like the others.
-    Open,
+    Normal,
     /// One read is due as a trial; call [`Scores::started`] with it.
     Trial,
     /// Only if no other instance can serve the read.
-    Shed,
+    Ejected,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Shed {
+struct Ejection {
     pause: Span,
     next: Time,
     good: u32,
@@ -62,7 +62,7 @@
     recent: VecDeque<bool>,
     /// When each request in flight was sent; `true` once it counted as slow.
     flying: VecDeque<(Time, bool)>,
-    shed: Option<Shed>,
+    shed: Option<Ejection>,
 }
 
 impl Score {
@@ -72,7 +72,7 @@
     }
 
     /// Requests in flight.
-    pub fn busy(&self) -> usize {
+    pub fn in_flight(&self) -> usize {
         self.flying.len()
     }
 
@@ -102,11 +102,11 @@
 
 /// Scores of the instances of one group.
 #[derive(Clone, Debug, Default)]
-pub struct Scores {
+pub struct LatencyScores {
     scores: IndexMap<InstanceId, Score>,
 }
 
-impl Scores {
+impl LatencyScores {
     /// The score of an instance, if it was ever used.
     pub fn get(&self, instance: &InstanceId) -> Option<&Score> {
         self.scores.get(instance)
@@ -118,13 +118,13 @@
     }
 
     /// Whether an instance should get a read at `now`.
-    pub fn standing(&mut self, instance: &InstanceId, now: Time) -> Standing {
+    pub fn eligibility(&mut self, instance: &InstanceId, now: Time) -> Eligibility {
         self.overdue(instance, now);
         let shed = self.scores.get(instance).and_then(|s| s.shed);
         match shed {
-            None => Standing::Open,
-            Some(shed) if !shed.trying && now >= shed.next => Standing::Trial,
-            Some(_) => Standing::Shed,
+            None => Eligibility::Normal,
+            Some(shed) if !shed.trying && now >= shed.next => Eligibility::Trial,
+            Some(_) => Eligibility::Ejected,
         }
     }
 
@@ -138,7 +138,13 @@
     }
 
     /// A read that was sent at `since` was answered.
-    pub fn answered(&mut self, instance: &InstanceId, since: Time, now: Time, rng: &mut impl Rng) {
+    pub fn response_received(
+        &mut self,
+        instance: &InstanceId,
+        since: Time,
+        now: Time,
+        rng: &mut impl Rng,
+    ) {
         let took = now.since(since);
         let slow = self.limit(instance).is_some_and(|limit| took > limit);
         let Some(score) = self.scores.get_mut(instance) else {
@@ -195,8 +201,8 @@
     }
 }
 
-fn shed(now: Time, pause: Span) -> Shed {
-    Shed {
+fn shed(now: Time, pause: Span) -> Ejection {
+    Ejection {
         pause,
         next: now + pause,
         good: 0,
--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/queue.rs
@@ -13,7 +13,7 @@
 use model::unit::{Span, Time};
 
 use crate::service_time;
-use crate::slots::Room;
+use crate::slots::Capacity;
 
 /// Class weight from which requests are urgent. Load: listings fill the queue
 /// while a payment arrives; harm: the payment waits a round of all callers.
@@ -33,7 +33,7 @@
 
 /// A request that asks for a slot.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Ticket {
+pub struct Request {
     /// Who asks.
     pub caller: id::CallerId,
     /// The caller's share against other callers; at least 1.
@@ -54,7 +54,7 @@
     /// The request's key.
     pub key: Key,
     /// What was asked.
-    pub ticket: Ticket,
+    pub request: Request,
     /// Expected service time.
     pub cost: Span,
     /// Whether it counts as long work.
@@ -68,7 +68,7 @@
 impl Entry {
     /// Moment after which the request could not finish within its deadline.
     pub fn latest_start(&self) -> Time {
-        let deadline = self.ticket.deadline.as_micros();
+        let deadline = self.request.deadline.as_micros();
         Time::from_micros(deadline.saturating_sub(self.cost.as_micros()))
     }
 }
@@ -135,24 +135,26 @@
 }
 
 impl Flow {
-    fn lanes(&self, room: Room) -> impl Iterator<Item = (usize, &Lane)> {
+    fn lanes(&self, capacity: Capacity) -> impl Iterator<Item = (usize, &Lane)> {
         let lanes = self.lanes.iter().enumerate();
-        let lanes = lanes.filter(move |(_, (key, lane))| fits(room, key, lane));
+        let lanes = lanes.filter(move |(_, (key, lane))| fits(capacity, key, lane));
         lanes.map(|(at, (_, lane))| (at, lane))
     }
 
     /// Rank of the most urgent request, the heaviest class and then the oldest first.
-    fn first_urgent(&self, room: Room) -> Option<(Reverse<u32>, Key)> {
-        let lanes = self.lanes(room).filter(|(_, l)| l.weight >= URGENT_WEIGHT);
+    fn first_urgent(&self, capacity: Capacity) -> Option<(Reverse<u32>, Key)> {
+        let lanes = self
+            .lanes(capacity)
+            .filter(|(_, l)| l.weight >= URGENT_WEIGHT);
         lanes
             .filter_map(|(_, l)| Some((Reverse(l.weight), *l.keys.front()?)))
             .min()
     }
 
     /// The lane whose turn it is: least service for its weight, the heavier first.
-    fn next_lane(&self, room: Room) -> Option<usize> {
+    fn next_lane(&self, capacity: Capacity) -> Option<usize> {
         let turn = |lane: &Lane| (lane.finish.max(self.clock), Reverse(lane.weight));
-        let lanes = self.lanes(room);
+        let lanes = self.lanes(capacity);
         lanes.min_by_key(|(_, l)| turn(l)).map(|(at, _)| at)
     }
 
@@ -166,10 +168,10 @@
     }
 }
 
-fn fits(room: Room, key: &LaneKey, lane: &Lane) -> bool {
+fn fits(capacity: Capacity, key: &LaneKey, lane: &Lane) -> bool {
     !lane.keys.is_empty()
-        && (room.long || key.1 == service_time::Length::Short)
-        && (room.ordinary || lane.weight >= URGENT_WEIGHT)
+        && (capacity.long || key.1 == service_time::Length::Short)
+        && (capacity.ordinary || lane.weight >= URGENT_WEIGHT)
 }
 
 /// Fair queue of one backend server.
@@ -208,17 +210,17 @@
 
     /// Expected service time that goes before a new request of this kind: its
     /// caller's backlog, and as much of each other caller's as is served meanwhile.
-    pub fn ahead_of(&self, ticket: &Ticket, cost: Span) -> Span {
-        let own = self.flows.get(&ticket.caller);
-        let urgent = ticket.class_weight >= URGENT_WEIGHT;
-        let weight = u64::from(ticket.weight.max(1));
+    pub fn ahead_of(&self, request: &Request, cost: Span) -> Span {
+        let own = self.flows.get(&request.caller);
+        let urgent = request.class_weight >= URGENT_WEIGHT;
+        let weight = u64::from(request.weight.max(1));
         let finish = own.map_or(0, |f| f.finish);
         if urgent && finish <= self.clock + URGENT_LEAD {
             let flows = self.flows.values();
             return Span::from_micros(flows.map(Flow::urgent_backlog).sum());
         }
         let own = own.map_or(0, |f| f.backlog);
-        let others = self.flows.iter().filter(|(id, _)| **id != ticket.caller);
+        let others = self.flows.iter().filter(|(id, _)| **id != request.caller);
         let turn = (own + cost.as_micros()) / weight;
         let others: u64 = others
             .map(|(_, f)| f.backlog.min(turn * u64::from(f.weight.max(1))))
@@ -227,25 +229,25 @@
     }
 
     /// How much longer requests of this kind wait than the backlog suggests.
-    pub fn bias(&self, ticket: &Ticket, length: service_time::Length) -> f64 {
-        let flow = self.flows.get(&ticket.caller);
-        let lane = flow.and_then(|f| f.lanes.get(&(ticket.class.clone(), length)));
+    pub fn bias(&self, request: &Request, length: service_time::Length) -> f64 {
+        let flow = self.flows.get(&request.caller);
+        let lane = flow.and_then(|f| f.lanes.get(&(request.class.clone(), length)));
         lane.map_or(1.0, |lane| lane.bias)
     }
 
     /// Queues a request.
     pub fn push(&mut self, entry: Entry) {
         let cost = entry.cost.as_micros();
-        let flow = self.flows.entry(entry.ticket.caller.clone()).or_default();
-        flow.weight = entry.ticket.weight.max(1);
+        let flow = self.flows.entry(entry.request.caller.clone()).or_default();
+        flow.weight = entry.request.weight.max(1);
         if flow.is_idle() {
             // An idle caller gains nothing for the time it asked for nothing;
             // otherwise it could later shut out everyone for as long.
             flow.finish = flow.finish.max(self.clock);
         }
-        let lane = (entry.ticket.class.clone(), entry.length);
+        let lane = (entry.request.class.clone(), entry.length);
         let lane = flow.lanes.entry(lane).or_default();
-        lane.weight = entry.ticket.class_weight.max(1);
+        lane.weight = entry.request.class_weight.max(1);
         lane.finish = lane.finish.max(flow.clock);
         lane.keys.push_back(entry.key);
         lane.backlog += cost;
@@ -256,11 +258,11 @@
     }
 
     /// Takes the request whose turn it is.
-    pub fn pop(&mut self, room: Room, now: Time) -> Option<Entry> {
+    pub fn pop(&mut self, capacity: Capacity, now: Time) -> Option<Entry> {
         self.advance_clock();
-        let at = self.next_flow(room)?;
+        let at = self.next_flow(capacity)?;
         let (_, flow) = self.flows.get_index_mut(at)?;
-        let lane_at = flow.next_lane(room)?;
+        let lane_at = flow.next_lane(capacity)?;
         let (_, lane) = flow.lanes.get_index_mut(lane_at)?;
         let key = *lane.keys.front()?;
         let entry = self.entries.get(&key)?;
@@ -280,18 +282,18 @@
         }
     }
 
-    fn next_flow(&self, room: Room) -> Option<usize> {
+    fn next_flow(&self, capacity: Capacity) -> Option<usize> {
         let lead = self.clock + URGENT_LEAD;
         let flows = || self.flows.values().enumerate();
         // In order of arrival, not of accounts: all are near their shares, and the
         // longest wait is what callers notice.
         let urgent = flows()
             .filter(|(_, f)| f.finish <= lead)
-            .filter_map(|(at, f)| Some((f.first_urgent(room)?, at)))
+            .filter_map(|(at, f)| Some((f.first_urgent(capacity)?, at)))
             .min();
         let least = || {
             flows()
-                .filter(|(_, f)| f.lanes(room).next().is_some())
+                .filter(|(_, f)| f.lanes(capacity).next().is_some())
                 .min_by_key(|(_, f)| f.finish)
                 .map(|(at, _)| at)
         };
@@ -302,8 +304,8 @@
     ///
     /// Without it a caller whose statements cost more than expected would get
     /// more than its share.
-    pub fn settle(&mut self, ticket: &Ticket, expected: Span, took: Span) {
-        let Some(flow) = self.flows.get_mut(&ticket.caller) else {
+    pub fn settle(&mut self, request: &Request, expected: Span, took: Span) {
+        let Some(flow) = self.flows.get_mut(&request.caller) else {
             return;
         };
         let weight = u64::from(flow.weight);
@@ -318,15 +320,15 @@
         self.by_start.remove(&(entry.latest_start(), key));
         let cost = entry.cost.as_micros();
         self.backlog -= cost;
-        let flow = self.flows.get_mut(&entry.ticket.caller)?;
+        let flow = self.flows.get_mut(&entry.request.caller)?;
         flow.backlog -= cost;
-        let lane = (entry.ticket.class.clone(), entry.length);
+        let lane = (entry.request.class.clone(), entry.length);
         let lane = flow.lanes.get_mut(&lane)?;
         if let Ok(at) = lane.keys.binary_search(&key) {
             lane.keys.remove(at);
             lane.backlog -= cost;
         }
-        self.forget(&entry.ticket.caller);
+        self.forget(&entry.request.caller);
         Some(entry)
     }
 
--- a/crates/policy/src/service_time.rs
+++ b/crates/policy/src/service_time.rs
@@ -50,12 +50,12 @@
 
 /// Learned service times.
 #[derive(Clone, Debug)]
-pub struct Times {
+pub struct ServiceTimes {
     known: IndexMap<(id::Class, Shape), Known>,
     median: Span,
 }
 
-impl Default for Times {
+impl Default for ServiceTimes {
     fn default() -> Self {
         Self {
             known: IndexMap::new(),
@@ -64,9 +64,9 @@
     }
 }
 
-impl Times {
+impl ServiceTimes {
     /// The expected service time; the median for a shape not seen yet.
-    pub fn expect(&self, class: &id::Class, shape: Shape) -> Span {
+    pub fn expected(&self, class: &id::Class, shape: Shape) -> Span {
         let key = (class.clone(), shape);
         self.known.get(&key).map_or(self.median, |k| k.mean)
     }
--- a/crates/policy/src/slots.rs
+++ b/crates/policy/src/slots.rs
@@ -52,9 +52,9 @@
     /// Statements that the server works on at once.
     pub slots: u32,
     /// Connections that all proxies at work hold together.
-    pub shared: u32,
+    pub total_connections: u32,
     /// Connections that this proxy may hold.
-    pub held: u32,
+    pub connections: u32,
     /// Time on the way to the server and back.
     pub round_trip: Span,
 }
@@ -62,7 +62,7 @@
 impl Share {
     /// This proxy's part; that of the slots follows that of the connections.
     fn part(&self) -> f64 {
-        (f64::from(self.held) / f64::from(self.shared.max(1))).min(1.0)
+        (f64::from(self.connections) / f64::from(self.total_connections.max(1))).min(1.0)
     }
 
     /// Work to have in flight on average when a statement takes `latency`.
@@ -87,7 +87,7 @@
 
 /// What may start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Room {
+pub struct Capacity {
     /// Whether anything may.
     pub any: bool,
     /// Whether work that is not urgent may.
@@ -102,9 +102,9 @@
 #[derive(Clone, Debug)]
 pub struct Slots {
     share: Share,
-    busy: u32,
+    in_flight: u32,
     long: u32,
-    returned: Option<Time>,
+    recovered_at: Option<Time>,
     /// Time in flight beyond this proxy's part, in microseconds.
     ///
     /// Load: more proxies than slots. Harm without it: each has one statement in
@@ -124,9 +124,9 @@
     pub fn new(share: Share) -> Self {
         Self {
             share,
-            busy: 0,
+            in_flight: 0,
             long: 0,
-            returned: None,
+            recovered_at: None,
             debt: 0.0,
             long_debt: 0.0,
             at: Time::default(),
@@ -136,7 +136,7 @@
     /// Accounts for the time since the last call.
     pub fn advance(&mut self, latency: Span, now: Time) {
         let passed = now.since(self.at).as_micros() as f64;
-        let ahead = f64::from(self.busy) - self.share.wanted(latency);
+        let ahead = f64::from(self.in_flight) - self.share.wanted(latency);
         self.debt = (self.debt + ahead * passed).clamp(0.0, MOST_DEBT);
         let ahead = f64::from(self.long) - self.share.long();
         self.long_debt = (self.long_debt + ahead * passed).clamp(0.0, MOST_LONG_DEBT);
@@ -144,18 +144,18 @@
     }
 
     /// Work in flight.
-    pub fn busy(&self) -> u32 {
-        self.busy
+    pub fn in_flight(&self) -> u32 {
+        self.in_flight
     }
 
     /// Work that may be in flight at `now`, by the usual latency of a statement.
     pub fn limit(&self, latency: Span, now: Time) -> u32 {
         let wanted = self.share.wanted(latency).ceil() as u32;
-        let limit = wanted.min(self.share.held).max(1);
-        let Some(returned) = self.returned else {
+        let limit = wanted.min(self.share.connections).max(1);
+        let Some(recovered_at) = self.recovered_at else {
             return limit;
         };
-        let passed = now.since(returned).as_micros();
+        let passed = now.since(recovered_at).as_micros();
         if passed >= SLOW_START.as_micros() {
             return limit;
         }
@@ -167,19 +167,19 @@
     ///
     /// Load: a few reports among many short statements; harm: reports hold all
     /// slots and every short statement waits for one to end.
-    pub fn room(&self, latency: Span, now: Time) -> Room {
+    pub fn capacity(&self, latency: Span, now: Time) -> Capacity {
         let long_limit = self.share.long().ceil() as u32;
         let limit = self.limit(latency, now);
-        Room {
-            any: self.busy < (limit + URGENT_EXTRA).min(self.share.held.max(1)),
-            ordinary: self.busy < limit && self.debt <= 0.0,
+        Capacity {
+            any: self.in_flight < (limit + URGENT_EXTRA).min(self.share.connections.max(1)),
+            ordinary: self.in_flight < limit && self.debt <= 0.0,
             long: self.long < long_limit.max(1) && self.long_debt <= 0.0,
         }
     }
 
     /// When ordinary work may go on, if it pauses.
     pub fn next_turn(&self, latency: Span, now: Time) -> Option<Time> {
-        let rate = self.share.wanted(latency) - f64::from(self.busy);
+        let rate = self.share.wanted(latency) - f64::from(self.in_flight);
         let long_rate = self.share.long() - f64::from(self.long);
         let turn = |debt: f64, rate: f64| {
             let pause = Span::from_micros((debt / rate).ceil() as u64);
@@ -191,7 +191,7 @@
 
     /// Counts a request that was sent.
     pub fn start(&mut self, length: service_time::Length) {
-        self.busy += 1;
+        self.in_flight += 1;
         if length == service_time::Length::Long {
             self.long += 1;
         }
@@ -199,7 +199,7 @@
 
     /// Counts a request that ended.
     pub fn end(&mut self, length: service_time::Length) {
-        self.busy = self.busy.saturating_sub(1);
+        self.in_flight = self.in_flight.saturating_sub(1);
         if length == service_time::Length::Long {
             self.long = self.long.saturating_sub(1);
         }
@@ -211,14 +211,14 @@
     }
 
     /// Begins the slow start of a server that came back.
-    pub fn returned(&mut self, now: Time) {
-        self.returned = Some(now);
+    pub fn server_recovered(&mut self, now: Time) {
+        self.recovered_at = Some(now);
     }
 
     /// When the limit next rises by itself, during a slow start.
     pub fn next_rise(&self, now: Time) -> Option<Time> {
-        let end = self.returned? + SLOW_START;
-        let step = SLOW_START.as_micros() / u64::from(self.share.held.max(1));
+        let end = self.recovered_at? + SLOW_START;
+        let step = SLOW_START.as_micros() / u64::from(self.share.connections.max(1));
         (now < end).then(|| now + Span::from_micros(step.max(1)))
     }
 }
--- a/crates/policy/tests/queue.rs
+++ b/crates/policy/tests/queue.rs
@@ -1,8 +1,8 @@
 //! Order, fairness and refusals of the queue in front of one backend server.
 
 use model::unit::{Span, Time};
-use policy::admission::{Action, Admission, End, Limits, Reason};
-use policy::queue::{Key, Ticket};
+use policy::admission::{Action, Admission, Completion, Limits, Reason};
+use policy::queue::{Key, Request};
 use policy::{service_time, slots};
 use rand::SeedableRng as _;
 use rand::rngs::SmallRng;
@@ -11,15 +11,15 @@
 const ONE_SLOT: Limits = Limits {
     share: slots::Share {
         slots: 1,
-        shared: 1,
-        held: 1,
+        total_connections: 1,
+        connections: 1,
         round_trip: Span::from_millis(0),
     },
     queue: 100,
 };
 
-fn ticket(caller: &str, class_weight: u32, deadline: u64) -> Ticket {
-    Ticket {
+fn request(caller: &str, class_weight: u32, deadline: u64) -> Request {
+    Request {
         caller: caller.parse().unwrap(),
         weight: 1,
         class: format!("class-{class_weight}").parse().unwrap(),
@@ -32,7 +32,7 @@
 fn started(actions: &[Action]) -> Vec<Key> {
     let key = |a: &Action| match a {
         Action::Start(key) => Some(*key),
-        Action::Refuse(..) => None,
+        Action::Reject(..) => None,
     };
     actions.iter().filter_map(key).collect()
 }
@@ -50,15 +50,15 @@
         }
     }
 
-    fn enter(&mut self, ticket: Ticket, ms: u64) -> (Key, Vec<Action>) {
+    fn enter(&mut self, request: Request, ms: u64) -> (Key, Vec<Action>) {
         let now = Time::from_millis(ms);
-        self.admission.enter(ticket, now, &mut self.rng)
+        self.admission.submit(request, now, &mut self.rng)
     }
 
     /// Ends `key` and returns the one that starts in its place.
     fn next(&mut self, key: Key, ms: u64) -> Option<Key> {
         let now = Time::from_millis(ms);
-        let actions = self.admission.finished(key, End::Answered, now);
+        let actions = self.admission.finished(key, Completion::Responded, now);
         started(&actions).first().copied()
     }
 }
@@ -68,11 +68,11 @@
 #[test]
 fn payment_passes_listings() {
     let mut b = Bench::new(ONE_SLOT);
-    let (first, _) = b.enter(ticket("a", 1, 10_000), 0);
+    let (first, _) = b.enter(request("a", 1, 10_000), 0);
     for n in 0..50 {
-        b.enter(ticket(if n % 2 == 0 { "a" } else { "b" }, 1, 10_000), 0);
+        b.enter(request(if n % 2 == 0 { "a" } else { "b" }, 1, 10_000), 0);
     }
-    let (payment, _) = b.enter(ticket("a", 8, 10_000), 0);
+    let (payment, _) = b.enter(request("a", 8, 10_000), 0);
     assert_eq!(b.next(first, 5), Some(payment));
 }
 
@@ -81,11 +81,11 @@
 #[test]
 fn callers_take_turns() {
     let mut b = Bench::new(ONE_SLOT);
-    let (first, _) = b.enter(ticket("flood", 1, 10_000), 0);
+    let (first, _) = b.enter(request("flood", 1, 10_000), 0);
     for _ in 0..50 {
-        b.enter(ticket("flood", 1, 10_000), 0);
+        b.enter(request("flood", 1, 10_000), 0);
     }
-    let (quiet, _) = b.enter(ticket("quiet", 1, 10_000), 0);
+    let (quiet, _) = b.enter(request("quiet", 1, 10_000), 0);
     let second = b.next(first, 5).unwrap();
     let third = b.next(second, 10).unwrap();
     assert!(second == quiet || third == quiet);
@@ -97,12 +97,12 @@
 #[test]
 fn no_class_starves() {
     let mut b = Bench::new(ONE_SLOT);
-    let (mut running, _) = b.enter(ticket("a", 8, 100_000), 0);
+    let (mut running, _) = b.enter(request("a", 8, 100_000), 0);
     for _ in 0..45 {
-        b.enter(ticket("a", 8, 100_000), 0);
-        b.enter(ticket("b", 8, 100_000), 0);
+        b.enter(request("a", 8, 100_000), 0);
+        b.enter(request("b", 8, 100_000), 0);
     }
-    let (listing, _) = b.enter(ticket("a", 1, 100_000), 0);
+    let (listing, _) = b.enter(request("a", 1, 100_000), 0);
     let mut turns = 0;
     while running != listing {
         turns += 1;
@@ -117,10 +117,10 @@
 fn refuses_at_the_door() {
     let mut b = Bench::new(ONE_SLOT);
     for _ in 0..100 {
-        b.enter(ticket("a", 1, 10_000), 0);
+        b.enter(request("a", 1, 10_000), 0);
     }
-    let (key, actions) = b.enter(ticket("a", 1, 100), 0);
-    let [Action::Refuse(refused, why)] = actions.as_slice() else {
+    let (key, actions) = b.enter(request("a", 1, 100), 0);
+    let [Action::Reject(refused, why)] = actions.as_slice() else {
         panic!("admitted: {actions:?}");
     };
     assert_eq!((*refused, why.reason), (key, Reason::Backlog));
@@ -132,12 +132,12 @@
 #[test]
 fn gives_up_at_once() {
     let mut b = Bench::new(ONE_SLOT);
-    b.enter(ticket("a", 1, 10_000), 0);
-    let (late, _) = b.enter(ticket("b", 1, 100), 0);
+    b.enter(request("a", 1, 10_000), 0);
+    let (late, _) = b.enter(request("b", 1, 100), 0);
     let at = b.admission.next_tick(Time::default()).unwrap();
     assert!(at < Time::from_millis(100));
     let actions = b.admission.tick(at, &mut b.rng);
-    assert!(matches!(actions[..], [Action::Refuse(key, why)]
+    assert!(matches!(actions[..], [Action::Reject(key, why)]
         if key == late && why.reason == Reason::Expired));
     assert_eq!(b.admission.queued(), 0);
 }
@@ -149,10 +149,10 @@
 fn full_queue(caller: &str, admitted: bool) {
     let mut b = Bench::new(ONE_SLOT);
     for _ in 0..=ONE_SLOT.queue {
-        b.enter(ticket("flood", 1, 100_000), 0);
+        b.enter(request("flood", 1, 100_000), 0);
     }
-    let (key, actions) = b.enter(ticket(caller, 1, 100_000), 0);
-    let [Action::Refuse(out, why)] = actions[..] else {
+    let (key, actions) = b.enter(request(caller, 1, 100_000), 0);
+    let [Action::Reject(out, why)] = actions[..] else {
         panic!("nothing refused");
     };
     assert_eq!((why.reason, out != key), (Reason::Full, admitted));
--- a/crates/proxy/src/admit.rs
+++ b/crates/proxy/src/admit.rs
@@ -7,7 +7,7 @@
 use indexmap::IndexMap;
 use model::id::{CallerId, Class, InstanceId};
 use model::unit::{Span, Time};
-use policy::admission::{End, Limits, Refused};
+use policy::admission::{Completion, Limits, Rejection};
 use policy::queue::Key;
 use policy::service_time::Shape;
 
@@ -33,7 +33,7 @@
 pub enum EnterError {
     /// There is more work than the backend server can do in time.
     #[error(transparent)]
-    Refused(#[from] Refused),
+    Refused(#[from] Rejection),
     /// The proxy is shutting down.
     #[error("the proxy is shutting down")]
     Stopping,
@@ -62,7 +62,7 @@
     End {
         instance: InstanceId,
         key: Key,
-        end: End,
+        end: Completion,
     },
     Limits(InstanceId, Limits),
     RoundTrip(InstanceId, Span),
@@ -93,13 +93,13 @@
     tx: flume::Sender<Request>,
     instance: InstanceId,
     key: Key,
-    end: End,
+    end: Completion,
 }
 
 impl Permit {
     /// Frees the slot after an answer, whose time is learned from.
     pub fn answered(mut self) {
-        self.end = End::Answered;
+        self.end = Completion::Responded;
     }
 }
 
--- a/crates/proxy/src/admit/task.rs
+++ b/crates/proxy/src/admit/task.rs
@@ -5,7 +5,7 @@
 use indexmap::IndexMap;
 use model::id::InstanceId;
 use model::unit::{Span, Time};
-use policy::admission::{Action, Admission, End, Limits};
+use policy::admission::{Action, Admission, Completion, Limits};
 use policy::queue::{self, Key};
 use rand::SeedableRng as _;
 use rand::rngs::SmallRng;
@@ -92,7 +92,7 @@
             }
             Request::Returned(instance) => {
                 let now = self.clock.now();
-                self.lane(&instance).admission.returned(now);
+                self.lane(&instance).admission.server_recovered(now);
             }
             Request::Loads(tx) => {
                 let _ = tx.send(self.loads());
@@ -113,7 +113,7 @@
 
     fn enter(&mut self, instance: &InstanceId, ticket: Ticket, tx: Answer) {
         let now = self.clock.now();
-        let ticket = queue::Ticket {
+        let ticket = queue::Request {
             deadline: self.clock.time(ticket.deadline),
             caller: ticket.caller,
             weight: ticket.weight,
@@ -123,12 +123,12 @@
         };
         let mut rng = SmallRng::from_rng(&mut self.rng);
         let lane = self.lane(instance);
-        let (key, actions) = lane.admission.enter(ticket, now, &mut rng);
+        let (key, actions) = lane.admission.submit(ticket, now, &mut rng);
         lane.waiting.insert(key, tx);
         self.perform(instance, actions);
     }
 
-    fn end(&mut self, instance: &InstanceId, key: Key, end: End) {
+    fn end(&mut self, instance: &InstanceId, key: Key, end: Completion) {
         let now = self.clock.now();
         let actions = self.lane(instance).admission.finished(key, end, now);
         self.perform(instance, actions);
@@ -149,7 +149,7 @@
         for action in actions {
             match action {
                 Action::Start(key) => self.start(instance, key),
-                Action::Refuse(key, refused) => {
+                Action::Reject(key, refused) => {
                     let tx = self.lane(instance).waiting.swap_remove(&key);
                     tracing::debug!(%instance, reason = %refused.reason, "refused");
                     if let Some(tx) = tx {
@@ -173,7 +173,7 @@
             tx: permits,
             instance: instance.clone(),
             key,
-            end: End::Failed,
+            end: Completion::Failed,
         };
         let _ = tx.send(Ok(permit));
     }
@@ -214,9 +214,9 @@
     fn loads(&self) -> IndexMap<InstanceId, Load> {
         let load = |lane: &Lane| Load {
             queued: lane.admission.queued() as u32,
-            busy: lane.admission.busy(),
+            busy: lane.admission.in_flight(),
             limit: lane.admission.limit(self.clock.now()),
-            median: lane.admission.times().median(),
+            median: lane.admission.service_times().median(),
         };
         let lanes = self.lanes.iter();
         lanes.map(|(id, lane)| (id.clone(), load(lane))).collect()
--- a/crates/proxy/src/cx.rs
+++ b/crates/proxy/src/cx.rs
@@ -269,8 +269,8 @@
         share: Share {
             slots: settings.slots,
             // Without word of another proxy, the slots are this one's.
-            shared: held,
-            held,
+            total_connections: held,
+            connections: held,
             round_trip: FIRST_ROUND_TRIP,
         },
         queue: settings.queue,
--- a/crates/proxy/src/share/task.rs
+++ b/crates/proxy/src/share/task.rs
@@ -396,8 +396,8 @@
     Limits {
         share: Share {
             slots: settings.slots,
-            shared,
-            held,
+            total_connections: shared,
+            connections: held,
             round_trip: ROUND_TRIP,
         },
         queue: settings.queue,
--- a/crates/proxy/tests/admit.rs
+++ b/crates/proxy/tests/admit.rs
@@ -12,8 +12,8 @@
 const ONE_SLOT: Limits = Limits {
     share: Share {
         slots: 1,
-        shared: 1,
-        held: 1,
+        total_connections: 1,
+        connections: 1,
         round_trip: Span::from_millis(0),
     },
     queue: 10,
--- a/crates/proxy/tests/group/bed.rs
+++ b/crates/proxy/tests/group/bed.rs
@@ -52,8 +52,8 @@
                 admit: admit::spawn(policy::admission::Limits {
                     share: policy::slots::Share {
                         slots: 3,
-                        shared: 20,
-                        held: 20,
+                        total_connections: 20,
+                        connections: 20,
                         round_trip: model::unit::Span::from_millis(1),
                     },
                     queue: 100,
--- a/crates/proxy/tests/share.rs
+++ b/crates/proxy/tests/share.rs
@@ -29,8 +29,8 @@
     Limits {
         share: slots::Share {
             slots: 3,
-            shared: 20,
-            held: 3,
+            total_connections: 20,
+            connections: 3,
             round_trip: Span::from_millis(1),
         },
         queue: 100,
