--- a/crates/policy/src/pool.rs
+++ b/crates/policy/src/pool.rs
@@ -5,8 +5,8 @@
 //! Who cannot get one waits in order of rank and arrival; who cannot get one in time is
 //! refused at once. `C` is an open connection, `W` stands for who waits.
 
+mod checkouts;
 mod instance;
-mod loans;
 mod request;
 mod serve;
 
--- a/crates/policy/src/pool/instance.rs
+++ b/crates/policy/src/pool/instance.rs
@@ -5,7 +5,7 @@
 use model::position::Point;
 use model::unit::{Span, Time};
 
-use super::loans::Loans;
+use super::checkouts::Loans;
 use super::{OpenError, Opened};
 
 /// Time after which an idle connection beyond the proxy's part is closed. Opening one
