--- a/crates/policy/src/pool.rs
+++ b/crates/policy/src/pool.rs
@@ -1,9 +1,10 @@
-//! Which connection a statement gets, and when connections are opened and closed.
+//! Selects the connection for each statement, and decides when connections are opened and
+//! closed.
 //!
-//! One pool serves one group. Instances accept few connections, shared with all other
-//! proxies, so a connection belongs to a statement or a transaction only while it runs.
-//! Who cannot get one waits in order of rank and arrival; who cannot get one in time is
-//! refused at once. `C` is an open connection, `W` stands for who waits.
+//! One pool serves one group. Instances accept few connections, which all proxies share, so a
+//! statement or a transaction holds a connection only while it runs. Requests that find none
+//! wait in order of priority and arrival; those that cannot get one in time are rejected at
+//! once. `C` is an open connection, `W` identifies a waiting caller.
 
 mod checkouts;
 mod instance;
@@ -21,26 +22,27 @@
 pub use instance::Instance;
 pub use request::{Action, ConnRequest, Grant, Kind, OpenError, Reason, Rejection};
 
-/// Least hint to come back, so that refused callers do not spin.
+/// Minimum retry hint, so that rejected callers do not retry in a tight loop.
 const MIN_RETRY: Span = Span::from_millis(50);
 
-/// Hint while no primary is known: a change of primary takes about this long.
+/// Retry hint while no primary is known: a change of primary takes about this long.
 const FAILOVER_RETRY: Span = Span::from_millis(1_000);
 
-/// Time within which a change of primary is usually over: 0.7 s to doubt, 0.2 s to look,
-/// up to 1 s until the next one leads.
-const CHANGE_TAKES: Span = Span::from_millis(2_500);
+/// Time within which a change of primary is usually over: 0.7 s to suspect the primary, 0.2 s
+/// to query the instances, up to 1 s until the next one leads.
+const CHANGE_DURATION: Span = Span::from_millis(2_500);
 
-/// Time for which an age that a read accepted counts.
-const ACCEPTED_KEPT: Span = Span::from_millis(1_000);
+/// How long a maximum age accepted by a read is remembered.
+const ACCEPTED_AGE_KEPT: Span = Span::from_millis(1_000);
 
-/// Time for which no primary must have been known before other proxies are asked. A primary
-/// that was just lost is lost to all of them, mostly.
-const LOST_FOR: Span = Span::from_millis(300);
+/// How long no primary must have been known before requests are sent to other proxies. A
+/// primary that has just failed is usually unreachable from all of them.
+const FALLBACK_AFTER: Span = Span::from_millis(300);
 
-/// Statements that may wait for one group at once. Load: a burst at several times the
-/// capacity. Harm without it: all of it waits, and is refused late. At 3 instances with 3
-/// slots and 20 ms a statement this many wait for about a second.
+/// Maximum number of statements waiting for one group. Under a burst of several times the
+/// capacity, an unlimited queue would make every statement wait and reject it late. With 3
+/// instances of 3 slots each and 20 ms per statement, this many statements wait for about a
+/// second.
 const MAX_WAITING: usize = 400;
 
 struct Pending<W> {
@@ -53,27 +55,27 @@
     instances: IndexMap<InstanceId, Instance<C>>,
     waiting: Vec<Pending<W>>,
     primary: Option<InstanceId>,
-    /// Since when no primary is known.
+    /// Time from which no primary has been known.
     lost_since: Option<Time>,
     proofs: Proofs,
-    /// Connections of one instance that all proxies share.
+    /// Connections to one instance that all proxies share.
     connections: u32,
-    /// Proxies that share them.
+    /// Number of proxies that share them.
     proxies: u32,
-    /// Whether this proxy is one of those.
+    /// Whether this proxy is one of them.
     is_holder: bool,
-    /// Since when no replica holds what reads need, if so.
+    /// Time from which no replica has held what reads need, if none does.
     lagging_since: Option<Time>,
-    /// Greatest age that a read accepted lately, and when it was asked for.
-    accepted: (Span, Time),
-    opened: Opened<C>,
+    /// Greatest age that a read accepted recently, and when that read was requested.
+    accepted_age: (Span, Time),
+    opened_at: OpenedAt<C>,
 }
 
-/// When a connection was opened.
-type Opened<C> = fn(&C) -> Time;
+/// Returns when a connection was opened.
+type OpenedAt<C> = fn(&C) -> Time;
 
 impl<C, W> Pool<C, W> {
-    /// A pool without instances.
+    /// Creates a pool without instances.
     pub fn new() -> Self {
         Self {
             instances: IndexMap::new(),
@@ -85,30 +87,31 @@
             proxies: 1,
             is_holder: true,
             lagging_since: None,
-            accepted: Default::default(),
-            opened: |_| Time::default(),
+            accepted_age: Default::default(),
+            opened_at: |_| Time::default(),
         }
     }
 
-    /// Uses the connection that was opened first, and closes the one that was opened last.
+    /// Prefers the connection that was opened first, and closes the one that was opened last.
     ///
-    /// Load: bursts that need a second connection now and then. Harm without it: each burst
-    /// leaves another connection open, and one that counts for proofs of writes is closed.
+    /// Under bursts that now and then need a second connection, each burst would otherwise
+    /// leave another connection open, and one that is eligible for replica acknowledgements
+    /// would be closed.
     #[must_use]
-    pub fn prefer_oldest(mut self, opened: fn(&C) -> Time) -> Self {
-        self.opened = opened;
+    pub fn prefer_oldest(mut self, opened_at: fn(&C) -> Time) -> Self {
+        self.opened_at = opened_at;
         self
     }
 
-    /// Takes over how many connections an instance accepts, how many proxies share them,
-    /// and whether this proxy is one of those; if not, it keeps none while they are idle.
+    /// Sets how many connections an instance accepts, how many proxies share them, and whether
+    /// this proxy is one of them; if it is not, it keeps no idle connections.
     pub fn set_shares(&mut self, connections: u32, proxies: u32, is_holder: bool) {
         self.connections = connections.max(1);
         self.proxies = proxies.max(1);
         self.is_holder = is_holder;
     }
 
-    /// Takes over the announced instances; `way` is the usual round trip to each.
+    /// Replaces the announced instances; `round_trip` is the usual round trip to each.
     pub fn set_entries(
         &mut self,
         entries: &[Entry],
@@ -118,11 +121,11 @@
         self.set_entries_since(entries, round_trip, now, now)
     }
 
-    /// The same, where what changed may have changed as early as `since`.
+    /// Like [`Pool::set_entries`], for changes that may have been made as early as `since`.
     ///
-    /// Load: a proxy is cut off from the store while a primary begins to leave. Harm without
-    /// it: it goes on writing there for as long again once it hears of it, and the instance
-    /// ends meanwhile.
+    /// When a primary starts to leave while this proxy is disconnected from the store, the
+    /// proxy learns of it late. Counted from that moment, it would keep writing there for the
+    /// whole permitted time, during which the instance stops.
     pub fn set_entries_since(
         &mut self,
         entries: &[Entry],
@@ -131,16 +134,16 @@
         now: Time,
     ) -> Vec<Action<C, W>> {
         let mut actions = Vec::new();
-        let listed = |id: &InstanceId| entries.iter().any(|e| e.id == *id);
-        let gone: Vec<_> = self
+        let is_announced = |id: &InstanceId| entries.iter().any(|e| e.id == *id);
+        let removed: Vec<_> = self
             .instances
             .keys()
-            .filter(|id| !listed(id))
+            .filter(|id| !is_announced(id))
             .cloned()
             .collect();
-        for id in gone {
-            if let Some(gone) = self.instances.shift_remove(&id) {
-                actions.extend(gone.into_idle().map(Action::Close));
+        for id in removed {
+            if let Some(removed) = self.instances.shift_remove(&id) {
+                actions.extend(removed.into_idle().map(Action::Close));
             }
             self.primary.take_if(|p| *p == id);
         }
@@ -159,22 +162,22 @@
         actions
     }
 
-    /// The instances.
+    /// All instances.
     pub fn instances(&self) -> impl Iterator<Item = &Instance<C>> {
         self.instances.values()
     }
 
-    /// One instance.
+    /// Returns one instance.
     pub fn instance(&self, id: &InstanceId) -> Option<&Instance<C>> {
         self.instances.get(id)
     }
 
-    /// When the oldest connection to each replica was opened, idle or lent; a replica without
-    /// one is left out.
+    /// When the oldest connection to each replica was opened, idle or checked out; replicas
+    /// without a connection are left out.
     pub fn oldest_per_replica(&self) -> impl Iterator<Item = Time> {
         let replicas = self.instances.values();
         let replicas = replicas.filter(|i| self.primary.as_ref() != Some(i.id()));
-        replicas.filter_map(|i| i.oldest_per_replica(self.opened))
+        replicas.filter_map(|i| i.oldest(self.opened_at))
     }
 
     /// The instance that last proved that it leads.
@@ -187,12 +190,12 @@
         self.proofs.newest()
     }
 
-    /// Statements that wait.
+    /// Number of statements that wait.
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
 
-    /// An instance proved that it leads.
+    /// Records that an instance proved that it leads; returns whether the primary has changed.
     pub fn record_proof(&mut self, id: &InstanceId, proof: Proof) -> bool {
         self.proofs.add(proof);
         let newest = self.proofs.newest().is_some_and(|p| p.since == proof.since);
@@ -204,31 +207,32 @@
         true
     }
 
-    /// An instance does not lead, or is out of reach; says whether it was taken to lead.
+    /// Records that an instance does not lead or is unreachable; returns whether it was the
+    /// known primary.
     pub fn clear_primary(&mut self, id: &InstanceId) -> bool {
         self.primary.take_if(|p| p == id).is_some()
     }
 
-    /// Asks for a connection.
+    /// Requests a connection.
     pub fn request(&mut self, request: ConnRequest, waiter: W, now: Time) -> Vec<Action<C, W>> {
-        self.note_age(&request.kind, now);
+        self.track_accepted_age(&request.kind, now);
         if !request.may_wait && self.is_unreachable(&request, now) {
-            let refused = unreachable();
-            return vec![Action::Reject(waiter, refused)];
+            let rejection = unreachable();
+            return vec![Action::Reject(waiter, rejection)];
         }
         if self.waiting.len() >= MAX_WAITING || self.is_futile(&request, now) {
-            let refused = self.refusal(&request);
-            return vec![Action::Reject(waiter, refused)];
+            let rejection = self.rejection(&request);
+            return vec![Action::Reject(waiter, rejection)];
         }
         let at = self
             .waiting
             .partition_point(|w| w.request.rank() <= request.rank());
         self.waiting.insert(at, Pending { request, waiter });
-        self.settle(now)
+        self.serve_waiting(now)
     }
 
-    /// Refuses everybody who waits for instances that are out of reach, since another proxy
-    /// was found that reaches them.
+    /// Rejects all requests that wait for unreachable instances, once another proxy was found
+    /// that reaches them.
     pub fn reject_unreachable(&mut self, now: Time) -> Vec<Action<C, W>> {
         let mut actions = Vec::new();
         let mut at = 0;
@@ -243,23 +247,26 @@
         actions
     }
 
-    /// Whether no instance that could serve the request is in reach of this proxy, while
-    /// another proxy may reach one.
+    /// Whether this proxy reaches no instance that could serve the request, while another proxy
+    /// may reach one.
     fn is_unreachable(&self, request: &ConnRequest, now: Time) -> bool {
         match self.need(request) {
             None => false,
             Some(Need::Primary) => match &self.primary {
-                None => self.lost_since.is_some_and(|at| now.since(at) >= LOST_FOR),
+                None => self
+                    .lost_since
+                    .is_some_and(|at| now.since(at) >= FALLBACK_AFTER),
                 Some(id) => self.instances.get(id).is_none_or(Instance::is_unreachable),
             },
             Some(Need::Holds(point)) => self
                 .instances
                 .values()
-                .all(|i| i.is_unreachable() || i.lacks_certainly(point, now)),
+                .all(|i| i.is_unreachable() || i.known_to_lack(point, now)),
         }
     }
 
-    /// What the request's instance must be or hold; `None` for a question to a certain one.
+    /// What the request's instance must be or hold; `None` for a query to a particular
+    /// instance.
     fn need(&self, req: &ConnRequest) -> Option<Need> {
         match req.kind {
             Kind::Control(_) => None,
@@ -268,20 +275,20 @@
         }
     }
 
-    /// Whether a request that needs a primary would wait for nothing.
+    /// Whether a request that needs a primary would wait in vain.
     ///
-    /// Load: a group without a primary for longer than a change of primary takes, for
-    /// instance because the store is away. Harm without it: all of its callers wait until
-    /// their time is up and learn only then that they must come back.
+    /// When a group has had no primary for longer than a change of primary takes, for instance
+    /// because the store is unavailable, callers would otherwise wait until their deadlines and
+    /// learn only then that they must retry.
     fn is_futile(&mut self, request: &ConnRequest, now: Time) -> bool {
-        self.note_loss(now);
-        let long = self
+        self.track_primary_loss(now);
+        let overdue = self
             .lost_since
-            .is_some_and(|at| now.since(at) >= CHANGE_TAKES);
-        long && matches!(request.kind, Kind::Write | Kind::Read(Guarantee::Newest))
+            .is_some_and(|at| now.since(at) >= CHANGE_DURATION);
+        overdue && matches!(request.kind, Kind::Write | Kind::Read(Guarantee::Newest))
     }
 
-    /// A connection comes back; `None` when it cannot be used again.
+    /// Returns a connection to the pool; `conn` is `None` if it cannot be used again.
     pub fn release(
         &mut self,
         id: &InstanceId,
@@ -291,14 +298,14 @@
     ) -> Vec<Action<C, W>> {
         let mut actions = Vec::new();
         match self.instances.get_mut(id) {
-            Some(instance) => instance.release(conn, took, self.opened, now),
+            Some(instance) => instance.release(conn, took, self.opened_at, now),
             None => actions.extend(conn.map(Action::Close)),
         }
-        actions.extend(self.settle(now));
+        actions.extend(self.serve_waiting(now));
         actions
     }
 
-    /// A connection that was to be opened is open, or is not.
+    /// Handles the result of opening a connection.
     pub fn open_completed(
         &mut self,
         id: &InstanceId,
@@ -310,50 +317,50 @@
             Some(instance) => instance.open_completed(result, now),
             None => actions.extend(result.ok().map(Action::Close)),
         }
-        actions.extend(self.settle(now));
+        actions.extend(self.serve_waiting(now));
         actions
     }
 
-    /// Takes an idle connection for a probe; it comes back by [`Pool::give_back`].
+    /// Takes an idle connection for a probe; [`Pool::release`] returns it.
     pub fn take_idle(&mut self, id: &InstanceId) -> Option<C> {
-        self.instances.get_mut(id)?.take(self.opened)
+        self.instances.get_mut(id)?.take(self.opened_at)
     }
 
-    /// The instance is not to be given reads for a while: it lags, or did not answer.
+    /// Sends no reads to the instance until `until`: it lags, or did not respond.
     pub fn pause_reads(&mut self, id: &InstanceId, until: Time) {
         if let Some(instance) = self.instances.get_mut(id) {
             instance.pause_reads(until);
         }
     }
 
-    /// The instance's log lacked a point that a read asked for.
+    /// Records that the instance's log lacked a point that a read required.
     pub fn record_lack(&mut self, id: &InstanceId, point: Point, now: Time) {
         if let Some(instance) = self.instances.get_mut(id) {
             instance.record_lack(point, now);
         }
     }
 
-    /// An answer of the instance showed the end of its log.
+    /// Records the end of the instance's log, as a response showed it.
     pub fn record_log_end(&mut self, id: &InstanceId, point: Point) {
         if let Some(instance) = self.instances.get_mut(id) {
             instance.record_log_end(point);
         }
     }
 
-    /// For how long no replica has held what the most tolerant reads need, so that the
-    /// primary must serve all of them.
+    /// How long no replica has held what the most tolerant reads need, so that the primary must
+    /// serve all reads.
     pub fn lagging_for(&self, now: Time) -> Option<Span> {
         self.lagging_since.map(|since| now.since(since))
     }
 
-    fn note_loss(&mut self, now: Time) {
+    fn track_primary_loss(&mut self, now: Time) {
         if self.primary.is_none() {
             self.lost_since.get_or_insert(now);
         }
     }
 
-    fn note_lag(&mut self, now: Time) {
-        let lagging = self.lags(now);
+    fn track_lag(&mut self, now: Time) {
+        let lagging = self.is_lagging(now);
         match (lagging, self.lagging_since) {
             (true, None) => self.lagging_since = Some(now),
             (false, Some(_)) => self.lagging_since = None,
@@ -361,9 +368,9 @@
         }
     }
 
-    fn lags(&self, now: Time) -> bool {
-        let (age, asked) = self.accepted;
-        if self.primary.is_none() || now.since(asked) > ACCEPTED_KEPT {
+    fn is_lagging(&self, now: Time) -> bool {
+        let (age, asked) = self.accepted_age;
+        if self.primary.is_none() || now.since(asked) > ACCEPTED_AGE_KEPT {
             return false;
         }
         let Some(point) = self.proofs.end_before(age, now) else {
@@ -374,62 +381,67 @@
             .values()
             .filter(|i| self.primary.as_ref() != Some(i.id()) && !i.entry().leaving)
             .peekable();
-        replicas.peek().is_some() && replicas.all(|i| i.lacks_certainly(point, now))
+        replicas.peek().is_some() && replicas.all(|i| i.known_to_lack(point, now))
     }
 
-    /// Remembers what age reads accept: the greatest one of late.
-    fn note_age(&mut self, kind: &Kind, now: Time) {
+    /// Remembers the greatest age that reads accepted recently.
+    fn track_accepted_age(&mut self, kind: &Kind, now: Time) {
         let Kind::Read(Guarantee::Bounded(age) | Guarantee::OwnWrites(age)) = *kind else {
             return;
         };
-        let (known, asked) = self.accepted;
-        if age >= known || now.since(asked) > ACCEPTED_KEPT {
-            self.accepted = (age, now);
+        let (known, asked) = self.accepted_age;
+        if age >= known || now.since(asked) > ACCEPTED_AGE_KEPT {
+            self.accepted_age = (age, now);
         }
     }
 
-    /// The instance refused a statement for want of capacity.
+    /// Records that the instance refused a statement for lack of capacity.
     pub fn record_overload(&mut self, id: &InstanceId, now: Time) {
         if let Some(instance) = self.instances.get_mut(id) {
             instance.record_overload(now);
         }
     }
 
-    /// Refuses whose time is up, closes what is not needed, and serves who can be served.
+    /// Rejects requests past their deadline, closes unneeded connections, and serves waiting
+    /// requests.
     pub fn tick(&mut self, now: Time) -> Vec<Action<C, W>> {
         let mut actions = Vec::new();
-        let late = self.waiting.extract_if(.., |w| w.request.deadline <= now);
-        let late: Vec<_> = late.collect();
-        for w in late {
-            let refused = self.refusal(&w.request);
-            actions.push(Action::Reject(w.waiter, refused));
+        let expired = self.waiting.extract_if(.., |w| w.request.deadline <= now);
+        let expired: Vec<_> = expired.collect();
+        for w in expired {
+            let rejection = self.rejection(&w.request);
+            actions.push(Action::Reject(w.waiter, rejection));
         }
-        self.note_loss(now);
-        self.note_lag(now);
-        let kept: Vec<_> = self
+        self.track_primary_loss(now);
+        self.track_lag(now);
+        let retained: Vec<_> = self
             .instances
             .values()
-            .map(|i| self.kept(i.entry().slots))
+            .map(|i| self.retained(i.entry().slots))
             .collect();
-        for (instance, kept) in self.instances.values_mut().zip(kept) {
-            actions.extend(instance.trim(kept, self.opened, now).map(Action::Close));
-            let leads = self.primary.as_ref() == Some(instance.id());
-            if instance.entry().leaving && !leads {
-                // One stays: what the instance holds may be the only proof of a write.
-                let spare = instance.drain_spare(self.opened);
+        for (instance, retained) in self.instances.values_mut().zip(retained) {
+            actions.extend(
+                instance
+                    .trim(retained, self.opened_at, now)
+                    .map(Action::Close),
+            );
+            let is_primary = self.primary.as_ref() == Some(instance.id());
+            if instance.entry().leaving && !is_primary {
+                // One is kept: what the instance holds may be the only proof of a write.
+                let spare = instance.drain_spare(self.opened_at);
                 actions.extend(spare.into_iter().map(Action::Close));
             }
         }
-        actions.extend(self.settle(now));
+        actions.extend(self.serve_waiting(now));
         actions
     }
 
-    /// When [`Pool::tick`] must be called next for those who wait.
+    /// When [`Pool::tick`] must be called next for the waiting requests.
     pub fn next_tick(&self) -> Option<Time> {
         self.waiting.iter().map(|w| w.request.deadline).min()
     }
 
-    fn refusal(&self, request: &ConnRequest) -> Rejection {
+    fn rejection(&self, request: &ConnRequest) -> Rejection {
         let reason = match (&request.kind, &self.primary) {
             (Kind::Write | Kind::Read(Guarantee::Newest), None) => Reason::NoPrimary,
             _ if self.instances.is_empty() => Reason::NoInstance,
--- a/crates/policy/src/pool/instance.rs
+++ b/crates/policy/src/pool/instance.rs
@@ -1,114 +1,115 @@
-//! One instance in a pool: its connections, and how soon it would answer.
+//! One instance in a pool: its connections, and how soon it is expected to respond.
 
 use model::entry::Entry;
 use model::id::InstanceId;
 use model::position::Point;
 use model::unit::{Span, Time};
 
-use super::checkouts::Loans;
-use super::{OpenError, Opened};
+use super::checkouts::Checkouts;
+use super::{OpenError, OpenedAt};
 
-/// Time after which an idle connection beyond the proxy's part is closed. Opening one
-/// costs the instance as much work as a statement, so it should outlast a pause between
-/// two statements; another proxy may be waiting for it.
-const IDLE_CLOSE: Span = Span::from_millis(400);
+/// Time after which an idle connection beyond the proxy's share is closed. Opening one costs
+/// the instance as much work as a statement, so it should outlast a pause between two
+/// statements; another proxy may be waiting for it.
+const IDLE_TIMEOUT: Span = Span::from_millis(400);
 
-/// Pause after the instance said that it has no connection left. Others close theirs
-/// after [`IDLE_CLOSE`]; asking more often costs the instance work.
+/// Pause after the instance reported that it has no connection left. Other proxies close theirs
+/// after [`IDLE_TIMEOUT`]; retrying more often costs the instance work.
 const FULL_PAUSE: Span = Span::from_millis(500);
 
 /// Pause after a connection could not be opened.
 const UNREACHABLE_PAUSE: Span = Span::from_millis(150);
 
-/// Time of a statement before one was measured.
-const FIRST_GUESS: Span = Span::from_millis(20);
+/// Assumed latency of a statement before one was measured.
+const INITIAL_LATENCY: Span = Span::from_millis(20);
 
 /// Weight of a new measurement, as a divisor: about the last eight statements count.
 const SMOOTHING: u64 = 8;
 
-/// Time after which a measured time no longer counts against an instance. Without it one
-/// that was slow once would get no statement that could show that it is well again.
-const FORGET: Span = Span::from_millis(1_000);
+/// Time after which a measured latency no longer counts against an instance. Otherwise one that
+/// was slow once would get no statement that could show its recovery.
+const LATENCY_EXPIRY: Span = Span::from_millis(1_000);
 
-/// Time for which a replica that lacked a point is taken to lack it still. Usual lags are
-/// some ten milliseconds; a replica that lags for long costs a refused read this often.
-const BEHIND_FOR: Span = Span::from_millis(120);
+/// Time for which a replica that lacked a point is assumed to lack it still. Usual lags are
+/// some ten milliseconds; a replica that lags for long causes one refused read per this time.
+const LACK_RETRY: Span = Span::from_millis(120);
 
-/// Time for which a refusal for a log that is too short says that an instance lags. Under
-/// load one is asked again after [`BEHIND_FOR`], so that several refusals fall into it.
-const BEHIND_KNOWN: Span = Span::from_millis(500);
+/// Time for which a read refused because the log was too short shows that an instance lags.
+/// Under load the instance is tried again after [`LACK_RETRY`], so several refusals fall into
+/// this time.
+const LACK_KNOWN_FOR: Span = Span::from_millis(500);
 
-/// Reads that may be in flight before anything is known.
-const FIRST_ROOM: f64 = 8.0;
+/// Reads that may be in flight initially.
+const INITIAL_WINDOW: f64 = 8.0;
 
-/// Most reads in flight; instances have few slots and a short queue.
-const MAX_ROOM: f64 = 64.0;
+/// Maximum number of reads in flight; instances have few slots and a short queue.
+const MAX_WINDOW: f64 = 64.0;
 
-/// What is left of the reads in flight after a refusal, and what an answer adds to them:
-/// a window of 8 recovers within about 30 answers.
-const SHRINK: f64 = 0.7;
-const GROW: f64 = 0.5;
+/// Factor applied to the window of reads in flight when an instance is overloaded, and the sum of
+/// the increases over one window of responses: a window of 8 recovers within about 30 responses.
+const WINDOW_DECREASE: f64 = 0.7;
+const WINDOW_INCREASE: f64 = 0.5;
 
-/// Pause after a refusal, about the time in which a slot comes free.
-const BUSY_REST: Span = Span::from_millis(10);
+/// Pause in reads to an overloaded instance, about the time in which a slot becomes free.
+const OVERLOAD_PAUSE: Span = Span::from_millis(10);
 
-/// Time after which one more connection is tried beyond the proxy's part and a number that
-/// was too many.
-const CEILING_RISE: Span = Span::from_millis(1_500);
+/// Time after which one more connection is tried beyond the proxy's share, above a number that
+/// the instance refused.
+const CEILING_STEP: Span = Span::from_millis(1_500);
 
-/// Added while a connection must be opened first; instances take 10 to 30 ms for it.
-const OPEN_COST: Span = Span::from_millis(20);
+/// Added if a connection must be opened first; instances take 10 to 30 ms for it.
+const OPEN_PENALTY: Span = Span::from_millis(20);
 
-/// Time for which a leaving instance may still be given writes while it leads. Instances
-/// serve on for 7 s and more after they said that they leave.
-const LEAVING_LEADS: Span = Span::from_millis(5_000);
+/// Time for which a leaving instance may still be given writes while it leads. Instances keep
+/// serving for 7 s and more after they announced that they leave.
+const LEAVING_WRITE_TIME: Span = Span::from_millis(5_000);
 
-/// Added for an instance a region away. Load: all instances equally busy. Harm without
-/// it: reads cross the narrow link between regions for a gain of some milliseconds.
-const FAR_COST: Span = Span::from_millis(30);
+/// Added for an instance a region away. With all instances equally busy, reads would otherwise
+/// cross the narrow link between regions to gain some milliseconds.
+const FAR_PENALTY: Span = Span::from_millis(30);
 
-/// A round trip from which an instance counts as a region away; data centres of one
-/// region are at most a few milliseconds apart.
-const FAR: Span = Span::from_millis(15);
+/// Round trip from which an instance counts as a region away; data centres of one region are at
+/// most a few milliseconds apart.
+const FAR_ROUND_TRIP: Span = Span::from_millis(15);
 
-/// Added for the primary. Load: writes, which only the primary can serve. Harm without
-/// it: reads fill its slots, and writes wait while replicas idle.
-const PRIMARY_COST: Span = Span::from_millis(25);
+/// Added for the primary. Only the primary can serve writes; otherwise reads would fill its
+/// slots, and writes would wait while replicas are idle.
+const PRIMARY_PENALTY: Span = Span::from_millis(25);
 
 /// Connections to one instance that a proxy may hold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Limits {
-    /// Its part of what the instance accepts.
-    pub(super) part: u32,
-    /// The most, for a moment.
-    pub(super) most: u32,
+    /// Its share of what the instance accepts.
+    pub(super) share: u32,
+    /// The maximum, held only briefly.
+    pub(super) max: u32,
 }
 
-/// One instance.
+/// One instance and this proxy's connections to it.
 pub struct Instance<C> {
     entry: Entry,
     round_trip: Span,
     leaving_since: Option<Time>,
-    /// Idle connections, each with the time since when, the longest idle first.
+    /// Idle connections, each with the time since when it is idle, the longest idle first.
     idle: Vec<(C, Time)>,
-    loans: Loans,
+    checkouts: Checkouts,
     opening: u32,
-    /// Whether the last try to open a connection failed.
-    failing: bool,
+    /// Whether the last attempt to open a connection failed.
+    open_failed: bool,
     /// No connection is opened before this time.
     no_open_before: Time,
-    /// No read is given to it before this time.
-    rests_until: Time,
-    /// Usual time of a statement, the way included.
-    usual: Option<Span>,
-    learned: Time,
+    /// No read is sent to it before this time.
+    reads_paused_until: Time,
+    /// Smoothed latency of a statement, including the round trip.
+    latency: Option<Span>,
+    measured_at: Time,
     /// Reads that may be in flight.
-    room: f64,
+    window: f64,
     /// A point that its log lacked, and when.
-    behind: Option<(Point, Time)>,
-    /// Newest end of its log that an answer showed.
-    shown: Point,
-    /// Connections beyond which it said that it is full, and when.
+    lacked: Option<(Point, Time)>,
+    /// Furthest end of its log that a response showed.
+    log_end: Point,
+    /// Number of connections at which it reported that it is full, and when.
     ceiling: Option<(u32, Time)>,
 }
 
@@ -119,22 +120,22 @@
             entry,
             round_trip,
             idle: Vec::new(),
-            loans: Loans::default(),
+            checkouts: Checkouts::default(),
             opening: 0,
-            failing: false,
+            open_failed: false,
             no_open_before: Time::default(),
-            rests_until: Time::default(),
-            usual: None,
-            learned: Time::default(),
-            room: FIRST_ROOM,
-            behind: None,
-            shown: Point::default(),
+            reads_paused_until: Time::default(),
+            latency: None,
+            measured_at: Time::default(),
+            window: INITIAL_WINDOW,
+            lacked: None,
+            log_end: Point::default(),
             ceiling: None,
         }
     }
 
-    /// Takes over an announcement that may have changed as early as `since`; connections to an
-    /// earlier process are of no use.
+    /// Applies an announcement that may have changed as early as `since`; returns the idle
+    /// connections to an earlier process, which are unusable.
     pub(super) fn update(
         &mut self,
         entry: &Entry,
@@ -154,10 +155,10 @@
             return Vec::new();
         }
         self.no_open_before = Time::default();
-        self.failing = false;
-        self.behind = None;
-        self.shown = Point::default();
-        self.loans.renew(now);
+        self.open_failed = false;
+        self.lacked = None;
+        self.log_end = Point::default();
+        self.checkouts.reset_ages(now);
         self.drain_idle()
     }
 
@@ -166,19 +167,19 @@
         &self.entry
     }
 
-    /// Which one it is.
+    /// Its identifier.
     pub fn id(&self) -> &InstanceId {
         &self.entry.id
     }
 
-    /// Connections that are open, lent or being opened.
+    /// Connections that are idle, checked out or being opened.
     pub fn count(&self) -> u32 {
         self.idle.len() as u32 + self.checked_out() + self.opening
     }
 
-    /// Connections that are lent.
+    /// Connections that are checked out.
     pub fn checked_out(&self) -> u32 {
-        self.loans.count()
+        self.checkouts.count()
     }
 
     /// Connections that are being opened.
@@ -186,9 +187,9 @@
         self.opening
     }
 
-    /// Whether this proxy has no connection to it and could open none.
+    /// Whether this proxy has no connection to it and failed to open one.
     pub(super) fn is_unreachable(&self) -> bool {
-        self.failing && self.idle.is_empty() && self.checked_out() == 0
+        self.open_failed && self.idle.is_empty() && self.checked_out() == 0
     }
 
     /// Whether a connection is idle.
@@ -196,23 +197,23 @@
         !self.idle.is_empty()
     }
 
-    /// When its oldest connection was opened, idle or lent.
-    pub(super) fn oldest_per_replica(&self, opened: Opened<C>) -> Option<Time> {
-        let idle = self.idle.iter().map(|(conn, _)| opened(conn));
-        idle.chain(self.loans.oldest_per_replica()).min()
+    /// When its oldest connection was opened, idle or checked out.
+    pub(super) fn oldest(&self, opened_at: OpenedAt<C>) -> Option<Time> {
+        let idle = self.idle.iter().map(|(conn, _)| opened_at(conn));
+        idle.chain(self.checkouts.oldest()).min()
     }
 
     pub(super) fn into_idle(self) -> impl Iterator<Item = C> {
         self.idle.into_iter().map(|(conn, _)| conn)
     }
 
-    /// Takes the connection opened first, and of equals the one used last: the others can
-    /// then be closed for lack of use.
-    pub(super) fn take(&mut self, opened: Opened<C>) -> Option<C> {
+    /// Takes the connection opened first, and of equals the one used last, so that the others
+    /// stay unused and can be closed.
+    pub(super) fn take(&mut self, opened_at: OpenedAt<C>) -> Option<C> {
         let idle = self.idle.iter().enumerate().rev();
-        let (at, _) = idle.min_by_key(|(_, (conn, _))| opened(conn))?;
+        let (at, _) = idle.min_by_key(|(_, (conn, _))| opened_at(conn))?;
         let (conn, _) = self.idle.remove(at);
-        self.loans.begin(opened(&conn));
+        self.checkouts.begin(opened_at(&conn));
         Some(conn)
     }
 
@@ -220,23 +221,23 @@
         &mut self,
         conn: Option<C>,
         took: Option<Span>,
-        opened: Opened<C>,
+        opened_at: OpenedAt<C>,
         now: Time,
     ) {
-        self.loans.end(conn.as_ref().map(opened));
+        self.checkouts.end(conn.as_ref().map(opened_at));
         if let Some(took) = took {
-            self.learn(took, now);
+            self.record_latency(took, now);
         }
         if let Some(conn) = conn {
-            self.keep(conn, now);
+            self.add_idle(conn, now);
         }
     }
 
     pub(super) fn open_completed(&mut self, result: Result<C, OpenError>, now: Time) {
         self.opening = self.opening.saturating_sub(1);
-        self.failing = result.is_err();
+        self.open_failed = result.is_err();
         match result {
-            Ok(conn) => self.keep(conn, now),
+            Ok(conn) => self.add_idle(conn, now),
             Err(fault) => {
                 let pause = match fault {
                     OpenError::Full => {
@@ -250,151 +251,152 @@
         }
     }
 
-    fn keep(&mut self, conn: C, now: Time) {
+    fn add_idle(&mut self, conn: C, now: Time) {
         self.idle.push((conn, now));
     }
 
     /// Whether another connection may be opened within what the proxy may hold.
     ///
-    /// Load: all proxies want more than their part at once. Harm without the ceiling: each
-    /// goes on asking, and a refused connection costs the instance as much as an open one.
+    /// The ceiling limits attempts while all proxies want more than their share at once:
+    /// without it each would keep trying, and a refused connection costs the instance as much
+    /// as an open one.
     ///
-    /// Load: all proxies restart, and the instance refuses many of them until it drops the
-    /// connections of before. Harm with a ceiling that rises slowly up to the proxy's part as
-    /// well: their callers wait for seconds while other proxies have connections to spare.
+    /// Up to the share the ceiling rises fast. When all proxies restart, the instance refuses
+    /// many of them until it drops their earlier connections; with a slow rise their callers
+    /// would wait for seconds while other proxies have connections to spare.
     pub(super) fn may_open(&self, limits: Limits, now: Time) -> bool {
         let ceiling = self.ceiling.map_or(u32::MAX, |(ceiling, at)| {
             let waited = now.since(at);
-            let beyond = ceiling.saturating_add(steps(waited, CEILING_RISE));
+            let beyond = ceiling.saturating_add(steps(waited, CEILING_STEP));
             let doublings = steps(waited, FULL_PAUSE).saturating_sub(1);
             let doubled = 1_u32.checked_shl(doublings);
             let within = ceiling.max(1).saturating_mul(doubled.unwrap_or(u32::MAX));
-            beyond.max(within.min(limits.part))
+            beyond.max(within.min(limits.share))
         });
-        self.count() < limits.most.min(ceiling.max(1)) && self.no_open_before <= now
+        self.count() < limits.max.min(ceiling.max(1)) && self.no_open_before <= now
     }
 
-    pub(super) fn open(&mut self) {
+    pub(super) fn begin_open(&mut self) {
         self.opening += 1;
     }
 
     pub(super) fn pause_reads(&mut self, until: Time) {
-        self.rests_until = self.rests_until.max(until);
+        self.reads_paused_until = self.reads_paused_until.max(until);
     }
 
     pub(super) fn serves_reads(&self, now: Time) -> bool {
-        let room = f64::from(self.checked_out()) < self.room;
-        !self.entry.leaving && self.rests_until <= now && room
+        let has_capacity = f64::from(self.checked_out()) < self.window;
+        !self.entry.leaving && self.reads_paused_until <= now && has_capacity
     }
 
-    /// Its log lacked a point that a read asked for.
+    /// Records that its log lacked a point that a read required.
     pub(super) fn record_lack(&mut self, point: Point, now: Time) {
-        self.behind = Some((point, now));
+        self.lacked = Some((point, now));
     }
 
-    /// An answer showed the end of its log.
+    /// Records the end of its log, as a response showed it.
     pub(super) fn record_log_end(&mut self, point: Point) {
-        self.shown = self.shown.max(point);
-        self.behind.take_if(|(lacked, _)| *lacked <= point);
+        self.log_end = self.log_end.max(point);
+        self.lacked.take_if(|(lacked, _)| *lacked <= point);
     }
 
-    /// Whether it lacks a point for certain: it said a moment ago that its log is too
-    /// short, and no answer showed the point.
-    pub(super) fn lacks_certainly(&self, point: Point, now: Time) -> bool {
+    /// Whether it certainly lacks a point: it recently refused a read because its log was too
+    /// short, and no response has shown the point.
+    pub(super) fn known_to_lack(&self, point: Point, now: Time) -> bool {
         let refused = self
-            .behind
-            .is_some_and(|(_, at)| now.since(at) <= BEHIND_KNOWN);
-        refused && self.shown < point
+            .lacked
+            .is_some_and(|(_, at)| now.since(at) <= LACK_KNOWN_FOR);
+        refused && self.log_end < point
     }
 
     /// Whether its log may hold a point by now.
     ///
-    /// Load: replicas that lag for seconds. Harm without it: reads go from one lagging
-    /// replica to the other until their tries are used up, while the primary could serve
-    /// them. One that lacked a point is asked for it, or a later one, only now and then.
+    /// When replicas lag for seconds, reads would otherwise go from one lagging replica to the
+    /// other until their attempts are used up, while the primary could serve them. A replica
+    /// that lacked a point is sent reads for it, or for a later one, only now and then.
     pub(super) fn may_hold(&self, point: Point, now: Time) -> bool {
-        self.behind
-            .is_none_or(|(lacked, at)| point < lacked || now.since(at) >= BEHIND_FOR)
+        self.lacked
+            .is_none_or(|(lacked, at)| point < lacked || now.since(at) >= LACK_RETRY)
     }
 
-    /// It refused a statement because its slots and its queue are full.
+    /// Records that it refused a statement because its slots and its queue are full.
     ///
-    /// Load: proxies that know nothing of each other send to the same instance. Harm
-    /// without it: each refused statement comes back at once and is refused again. Fewer
-    /// in flight after a refusal, and slowly more after each answer, keeps the queue
+    /// Several proxies may send to the same instance without knowing of each other; each
+    /// refused statement would be retried at once and refused again. Reducing the reads in
+    /// flight after a refusal, and raising them slowly with each response, keeps the queue
     /// short and the slots full.
     pub(super) fn record_overload(&mut self, now: Time) {
-        self.room = (f64::from(self.checked_out()) * SHRINK).max(1.0);
-        self.pause_reads(now + BUSY_REST);
+        self.window = (f64::from(self.checked_out()) * WINDOW_DECREASE).max(1.0);
+        self.pause_reads(now + OVERLOAD_PAUSE);
     }
 
-    /// Whether writes may go to it, if it leads. One that leaves goes on leading until
-    /// another takes over, but only for as long as it is sure to run.
+    /// Whether writes may go to it, if it leads. A leaving instance leads until another takes
+    /// over, but gets writes only while it is sure to run.
     pub(super) fn serves_writes(&self, now: Time) -> bool {
         self.leaving_since
-            .is_none_or(|since| now.since(since) < LEAVING_LEADS)
+            .is_none_or(|since| now.since(since) < LEAVING_WRITE_TIME)
     }
 
-    /// Takes every idle connection out.
+    /// Removes and returns all idle connections.
     pub(super) fn drain_idle(&mut self) -> Vec<C> {
         self.idle.drain(..).map(|(conn, _)| conn).collect()
     }
 
-    /// Takes every idle connection out but the one opened first.
-    pub(super) fn drain_spare(&mut self, opened: Opened<C>) -> Vec<C> {
-        self.idle.sort_by_key(|(conn, _)| opened(conn));
+    /// Removes and returns all idle connections but the one opened first.
+    pub(super) fn drain_spare(&mut self, opened_at: OpenedAt<C>) -> Vec<C> {
+        self.idle.sort_by_key(|(conn, _)| opened_at(conn));
         let spare = self.idle.len().min(1);
         self.idle.drain(spare..).map(|(conn, _)| conn).collect()
     }
 
-    /// Closes the connection opened last, and of equals the one idle longest, if the proxy
-    /// holds more than `kept` and does not need it.
-    pub(super) fn trim(&mut self, kept: u32, opened: Opened<C>, now: Time) -> Option<C> {
-        if self.count() <= kept {
+    /// Removes the connection opened last, and of equals the one idle longest, if the proxy
+    /// holds more than `retained` and the connection has been idle for [`IDLE_TIMEOUT`].
+    pub(super) fn trim(&mut self, retained: u32, opened_at: OpenedAt<C>, now: Time) -> Option<C> {
+        if self.count() <= retained {
             return None;
         }
         let idle = self.idle.iter().enumerate().rev();
-        let spare = idle.filter(|(_, (_, since))| now.since(*since) >= IDLE_CLOSE);
-        let (at, _) = spare.max_by_key(|(_, (conn, _))| opened(conn))?;
+        let spare = idle.filter(|(_, (_, since))| now.since(*since) >= IDLE_TIMEOUT);
+        let (at, _) = spare.max_by_key(|(_, (conn, _))| opened_at(conn))?;
         Some(self.idle.remove(at).0)
     }
 
-    fn learn(&mut self, took: Span, now: Time) {
-        self.learned = now;
-        self.room = (self.room + GROW / self.room).min(MAX_ROOM);
-        let old = self.usual.unwrap_or(took).as_micros();
+    fn record_latency(&mut self, took: Span, now: Time) {
+        self.measured_at = now;
+        self.window = (self.window + WINDOW_INCREASE / self.window).min(MAX_WINDOW);
+        let old = self.latency.unwrap_or(took).as_micros();
         let new = (old * (SMOOTHING - 1) + took.as_micros()) / SMOOTHING;
-        self.usual = Some(Span::from_micros(new));
+        self.latency = Some(Span::from_micros(new));
     }
 
-    /// Expected time of one more read.
+    /// Expected latency of one more read.
     ///
-    /// Load: skewed demand, and one instance slower than the others. The measured time
-    /// includes the wait behind other proxies' statements, so that work moves away from
-    /// an instance that others keep busy; statements of this proxy count in full.
-    pub(super) fn expected(&self, leads: bool, now: Time) -> Span {
-        let guess = FIRST_GUESS.as_micros() + self.round_trip.as_micros();
-        let mut usual = self.usual.map_or(guess, Span::as_micros);
-        if now.since(self.learned) > FORGET {
-            usual = usual.min(guess);
+    /// Balances skewed demand, and instances of different speed. The measured latency includes
+    /// the wait behind other proxies' statements, so that work moves away from an instance that
+    /// others keep busy; this proxy's own statements count in full.
+    pub(super) fn expected_latency(&self, is_primary: bool, now: Time) -> Span {
+        let guess = INITIAL_LATENCY.as_micros() + self.round_trip.as_micros();
+        let mut latency = self.latency.map_or(guess, Span::as_micros);
+        if now.since(self.measured_at) > LATENCY_EXPIRY {
+            latency = latency.min(guess);
         }
         let slots = u64::from(self.entry.slots.max(1));
-        let work = usual.saturating_sub(self.round_trip.as_micros());
-        let mut expected = usual + work * u64::from(self.checked_out()) / slots;
-        if self.round_trip >= FAR {
-            expected += FAR_COST.as_micros();
+        let work = latency.saturating_sub(self.round_trip.as_micros());
+        let mut expected = latency + work * u64::from(self.checked_out()) / slots;
+        if self.round_trip >= FAR_ROUND_TRIP {
+            expected += FAR_PENALTY.as_micros();
         }
         if !self.has_idle() {
-            expected += OPEN_COST.as_micros();
+            expected += OPEN_PENALTY.as_micros();
         }
-        if leads {
-            expected += PRIMARY_COST.as_micros();
+        if is_primary {
+            expected += PRIMARY_PENALTY.as_micros();
         }
         Span::from_micros(expected)
     }
 }
 
-/// Whole steps in some time.
+/// Number of whole steps in `time`.
 fn steps(time: Span, step: Span) -> u32 {
     let steps = time.as_micros() / step.as_micros();
     u32::try_from(steps).unwrap_or(u32::MAX)
--- a/crates/policy/src/pool/request.rs
+++ b/crates/policy/src/pool/request.rs
@@ -1,18 +1,18 @@
-//! What goes into a pool and what comes out of it.
+//! Requests to a pool and the actions it returns.
 
 use model::id::InstanceId;
 use model::position::Point;
 use model::route::Guarantee;
 use model::unit::{Span, Time};
 
-/// What a statement needs of its connection.
+/// What a statement needs from its connection.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Kind {
     /// Writes, or a transaction that may write.
     Write,
-    /// Reads, with what they must find.
+    /// Reads, with the guarantee they need.
     Read(Guarantee),
-    /// A question of the coordinator to this instance; it goes before everything else.
+    /// A query of the coordinator to this instance; it precedes all other requests.
     Control(InstanceId),
 }
 
@@ -25,14 +25,14 @@
     pub own_write: Option<Point>,
     /// When the statement, or its transaction, arrived.
     pub arrived: Time,
-    /// When the caller is refused at the latest.
+    /// When the request is rejected at the latest.
     pub deadline: Time,
-    /// Rank under load; 0 goes first.
+    /// Priority under load; 0 is served first.
     pub priority: u8,
-    /// An instance that just could not serve it.
+    /// An instance that has just failed to serve it.
     pub avoid: Option<InstanceId>,
-    /// Whether it waits also while no instance that could serve it is in reach; otherwise
-    /// it is refused at once, to try another proxy.
+    /// Whether it also waits while no instance that could serve it is reachable; otherwise it
+    /// is rejected at once, so that the caller can try another proxy.
     pub may_wait: bool,
 }
 
@@ -43,20 +43,20 @@
     }
 }
 
-/// A connection, lent until it is given back.
+/// A connection, checked out until it is released.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Grant<C> {
-    /// Whose connection it is.
+    /// The instance it leads to.
     pub instance: InstanceId,
     /// The connection.
     pub conn: C,
-    /// The read must carry this point, so that it runs only on a log that holds it.
+    /// The point that the read must name, so that it runs only on a log that holds the point.
     pub after: Option<Point>,
     /// The instance must first prove that it leads.
     pub verify_primary: bool,
 }
 
-/// Why nothing was lent.
+/// Why no connection was granted.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, thiserror::Error, serde::Serialize, serde::Deserialize,
 )]
@@ -70,13 +70,13 @@
     /// No instance can serve it.
     #[error("no instance can serve it")]
     NoInstance,
-    /// Instances that could serve it are not in reach of this proxy.
-    #[error("no instance that can serve it is in reach")]
+    /// Instances that could serve it are unreachable from this proxy.
+    #[error("no instance that can serve it is reachable")]
     #[serde(rename = "OutOfReach")]
     Unreachable,
 }
 
-/// A refusal; the statement has not run.
+/// A rejection; the statement has not run.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, thiserror::Error, serde::Serialize, serde::Deserialize,
 )]
@@ -84,16 +84,16 @@
 pub struct Rejection {
     /// Why.
     pub reason: Reason,
-    /// When a new attempt is likely to be served.
+    /// When a retry is likely to be served.
     pub retry_after: Span,
 }
 
-/// What the owner of the pool has to do.
+/// What the owner of the pool must do.
 #[derive(Debug)]
 pub enum Action<C, W> {
-    /// Lend a connection.
+    /// Grant a connection.
     Grant(W, Grant<C>),
-    /// Refuse.
+    /// Reject the request.
     Reject(W, Rejection),
     /// Open a connection to the instance.
     Open(InstanceId),
@@ -106,6 +106,6 @@
 pub enum OpenError {
     /// The instance has no connection left.
     Full,
-    /// The instance is another one, or does not answer.
+    /// The process at the address is another instance, or did not respond.
     Unreachable,
 }
