--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -1,7 +1,8 @@
-//! Admission to one backend server: the fair queue joined to the slots.
+//! Admission control for one backend server: joins the fair queue with the limit on work in
+//! flight.
 //!
-//! A request either starts, waits, or is refused. A refusal is final and is
-//! given at the moment at which it is certain; it says when to come back.
+//! A request starts, waits, or is rejected. A rejection is final and is sent as soon as it is
+//! certain; it says when to retry.
 
 use indexmap::IndexMap;
 use model::unit::{Span, Time};
@@ -11,66 +12,66 @@
 use crate::service_time::{Length, ServiceTimes};
 use crate::slots::{self, Slots};
 
-/// Smallest hint to come back, so that a refused caller cannot spin.
+/// Minimum retry hint, so that a rejected caller cannot retry in a tight loop.
 const MIN_RETRY: Span = Span::from_millis(20);
 
-/// Largest hint to come back; beyond it the estimate says little.
+/// Maximum retry hint; beyond it the estimate is meaningless.
 const MAX_RETRY: Span = Span::from_millis(5_000);
 
-/// Part of the expected wait that is added to it at the door, as a divisor. Load:
-/// twice the capacity; harm without it: requests that were let in are given up late,
-/// and only 63 % of the refusals came within 10 ms. With half the wait on top, 92 %
-/// did, for 0.2 % of a burst refused needlessly; with all of it, 96 % and 0.6 %.
-const CAUTION_DIVISOR: u64 = 2;
+/// Safety margin added to the expected wait of an arriving request, as a divisor of that wait.
+/// Without it, at twice the capacity, requests are queued and rejected late: only 63 % of the
+/// rejections came within 10 ms. With half the wait added, 92 % did, and 0.2 % of a burst was
+/// rejected needlessly; with all of it, 96 % and 0.6 %.
+const MARGIN_DIVISOR: u64 = 2;
 
 /// Why a request did not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Reason {
-    /// The expected wait outlives the deadline.
+    /// The expected wait exceeds the deadline.
     #[error("the expected wait outlives the deadline")]
     Backlog,
-    /// The queue is full and this caller's part of it is the largest.
+    /// The queue is full, and this caller has the largest part of it.
     #[error("the queue is full")]
     Full,
-    /// It could not finish within its deadline any more.
+    /// It can no longer finish within its deadline.
     #[error("the deadline would pass before an answer")]
     Expired,
 }
 
-/// A request that was given up before it ran.
+/// A rejection; the request has not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{reason}; retry after {} ms", retry_after.as_millis())]
 pub struct Rejection {
     /// Why.
     pub reason: Reason,
-    /// When a new attempt is likely to be admitted.
+    /// When a retry is likely to be admitted.
     pub retry_after: Span,
 }
 
 /// What to do with a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// It holds a slot: send it.
+    /// It has a slot: send it.
     Start(Key),
-    /// Answer it now.
+    /// Reject it now.
     Reject(Key, Rejection),
 }
 
 /// How a started request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Completion {
-    /// An answer came; its time is learned from.
+    /// A response arrived; the service time is learned from it.
     Responded,
-    /// It failed or was cancelled; its time says nothing about the server.
+    /// It failed or was cancelled; its duration is not learned from.
     Failed,
 }
 
-/// Bounds of an admission.
+/// Limits of an [`Admission`].
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// This proxy's part of the backend server.
+    /// This proxy's share of the backend server.
     pub share: slots::Share,
-    /// Most requests queued.
+    /// Maximum number of queued requests.
     pub queue: u32,
 }
 
@@ -80,106 +81,106 @@
     since: Time,
 }
 
-/// Admission to one backend server.
+/// Admission control for one backend server.
 ///
 /// Invariant: `slots` counts exactly the requests in `running`.
 #[derive(Clone, Debug)]
 pub struct Admission {
     queue: queue::Queue,
     slots: Slots,
-    times: ServiceTimes,
+    service_times: ServiceTimes,
     running: IndexMap<Key, Running>,
-    most: usize,
-    next: u64,
+    max_queued: usize,
+    next_key: u64,
 }
 
 impl Admission {
-    /// An idle admission.
+    /// Creates an admission without requests.
     pub fn new(limits: Limits) -> Self {
         Self {
             queue: queue::Queue::default(),
             slots: Slots::new(limits.share),
-            times: ServiceTimes::default(),
+            service_times: ServiceTimes::default(),
             running: IndexMap::new(),
-            most: limits.queue as usize,
-            next: 0,
+            max_queued: limits.queue as usize,
+            next_key: 0,
         }
     }
 
-    /// Takes over changed bounds.
+    /// Replaces the limits.
     pub fn set_limits(&mut self, limits: Limits, now: Time) -> Vec<Action> {
         self.slots.set_share(limits.share);
-        self.most = limits.queue as usize;
-        self.start_all(now)
+        self.max_queued = limits.queue as usize;
+        self.start_ready(now)
     }
 
-    /// Begins the slow start of a server that came back.
+    /// Starts the slow start of a server that recovered.
     pub fn server_recovered(&mut self, now: Time) {
         self.slots.server_recovered(now);
     }
 
-    /// Requests waiting.
+    /// Number of queued requests.
     pub fn queued(&self) -> usize {
         self.queue.len()
     }
 
-    /// Work in flight.
+    /// Number of requests in flight.
     pub fn in_flight(&self) -> u32 {
         self.slots.in_flight()
     }
 
-    /// Work that may be in flight.
+    /// Number of requests that may be in flight.
     pub fn limit(&self, now: Time) -> u32 {
-        self.slots.limit(self.times.median(), now)
+        self.slots.limit(self.service_times.median(), now)
     }
 
     fn fits(&self, request: &Request, now: Time) -> bool {
-        let capacity = self.slots.capacity(self.times.median(), now);
+        let capacity = self.slots.capacity(self.service_times.median(), now);
         let urgent = request.class_weight >= queue::URGENT_WEIGHT;
-        let short = self.times.length(&request.class, request.shape) == Length::Short;
+        let short = self.service_times.length(&request.class, request.shape) == Length::Short;
         capacity.any && (capacity.ordinary || urgent) && (capacity.long || short)
     }
 
     /// The learned service times.
     pub fn service_times(&self) -> &ServiceTimes {
-        &self.times
+        &self.service_times
     }
 
     /// Expected time until a new request of this kind would start.
     pub fn expected_wait(&self, request: &Request, now: Time) -> Span {
         let forecast = self.forecast(request, now);
-        let length = self.times.length(&request.class, request.shape);
+        let length = self.service_times.length(&request.class, request.shape);
         let bias = self.queue.bias(request, length);
         Span::from_micros((forecast.as_micros() as f64 * bias) as u64)
     }
 
-    /// What the backlog alone suggests.
+    /// The wait as forecast from the backlog, not yet corrected by the bias.
     fn forecast(&self, request: &Request, now: Time) -> Span {
-        let cost = self.times.expected(&request.class, request.shape);
+        let cost = self.service_times.expected(&request.class, request.shape);
         if self.queue.is_empty() && self.fits(request, now) {
             return Span::default();
         }
-        let ahead = self.queue.ahead_of(request, cost).as_micros();
+        let ahead = self.queue.work_ahead_of(request, cost).as_micros();
         let limit = u64::from(self.limit(now));
-        Span::from_micros(ahead / limit + self.times.median().as_micros() / limit)
+        Span::from_micros(ahead / limit + self.service_times.median().as_micros() / limit)
     }
 
-    /// A new request; its key, and what is to be done now.
+    /// Submits a new request; returns its key and what to do now.
     pub fn submit(
         &mut self,
         request: Request,
         now: Time,
         rng: &mut impl Rng,
     ) -> (Key, Vec<Action>) {
-        let key = Key(self.next);
-        self.next += 1;
+        let key = Key(self.next_key);
+        self.next_key += 1;
         let mut actions = self.expire(now, rng);
-        if let Some(refused) = self.door(&request, now, rng, &mut actions) {
-            actions.push(Action::Reject(key, refused));
+        if let Some(rejection) = self.check_arrival(&request, now, rng, &mut actions) {
+            actions.push(Action::Reject(key, rejection));
             return (key, actions);
         }
-        let cost = self.times.expected(&request.class, request.shape);
-        let length = self.times.length(&request.class, request.shape);
+        let cost = self.service_times.expected(&request.class, request.shape);
+        let length = self.service_times.length(&request.class, request.shape);
         let forecast = self.forecast(&request, now);
         self.queue.push(queue::Entry {
             key,
@@ -189,59 +190,61 @@
             since: now,
             forecast,
         });
-        actions.extend(self.start_all(now));
+        actions.extend(self.start_ready(now));
         (key, actions)
     }
 
-    /// Refusal at the door.
+    /// Decides whether an arriving request must be rejected.
     ///
-    /// Load: arrivals beyond capacity. Harm without it: requests wait for as long
-    /// as their callers do and are then thrown away, so the server works on
-    /// answers that nobody reads and the caller learns late that it must retry.
-    fn door(
+    /// When arrivals exceed the capacity, requests would otherwise wait until their callers
+    /// time out and then be dropped: the server works on responses that nobody reads, and
+    /// callers learn late that they must retry.
+    fn check_arrival(
         &mut self,
         request: &Request,
         now: Time,
         rng: &mut impl Rng,
         actions: &mut Vec<Action>,
     ) -> Option<Rejection> {
-        let cost = self.times.expected(&request.class, request.shape);
+        let cost = self.service_times.expected(&request.class, request.shape);
         let wait = self.expected_wait(request, now);
         let left = request.deadline.since(now);
-        let caution = wait.as_micros() / CAUTION_DIVISOR;
-        let needed = Span::from_micros(wait.as_micros() + caution + cost.as_micros());
+        let margin = wait.as_micros() / MARGIN_DIVISOR;
+        let needed = Span::from_micros(wait.as_micros() + margin + cost.as_micros());
         if needed > left {
             let over = needed.as_micros() - left.as_micros();
-            return Some(refused(Reason::Backlog, Span::from_micros(over), rng));
+            return Some(rejection(Reason::Backlog, Span::from_micros(over), rng));
         }
-        if self.queue.len() >= self.most {
-            let Some(pushed) = self.queue.push_out(&request.caller) else {
-                return Some(refused(Reason::Full, wait, rng));
+        if self.queue.len() >= self.max_queued {
+            let Some(evicted) = self.queue.evict_for(&request.caller) else {
+                return Some(rejection(Reason::Full, wait, rng));
             };
-            let refusal = refused(Reason::Full, wait, rng);
-            actions.push(Action::Reject(pushed.key, refusal));
+            let rejection = rejection(Reason::Full, wait, rng);
+            actions.push(Action::Reject(evicted.key, rejection));
         }
         None
     }
 
-    /// A started request ended.
-    pub fn finished(&mut self, key: Key, end: Completion, now: Time) -> Vec<Action> {
+    /// Handles the end of a started request.
+    pub fn finished(&mut self, key: Key, completion: Completion, now: Time) -> Vec<Action> {
         let Some(run) = self.running.swap_remove(&key) else {
             return Vec::new();
         };
         let entry = run.entry;
-        let took = now.since(run.since);
-        self.slots.advance(self.times.median(), now);
+        let elapsed = now.since(run.since);
+        self.slots.advance(self.service_times.median(), now);
         self.slots.end(entry.length);
-        self.queue.settle(&entry.request, entry.cost, took);
-        if end == Completion::Responded {
+        self.queue
+            .adjust_charge(&entry.request, entry.cost, elapsed);
+        if completion == Completion::Responded {
             let request = &entry.request;
-            self.times.record(&request.class, request.shape, took);
+            self.service_times
+                .record(&request.class, request.shape, elapsed);
         }
-        self.start_all(now)
+        self.start_ready(now)
     }
 
-    /// A waiting request's caller went away, or a started one's.
+    /// Removes a queued or started request whose caller went away.
     pub fn cancelled(&mut self, key: Key, now: Time) -> Vec<Action> {
         if self.queue.remove(key).is_some() {
             return Vec::new();
@@ -249,10 +252,10 @@
         self.finished(key, Completion::Failed, now)
     }
 
-    /// Gives up what can no longer finish in time, and starts what now may.
+    /// Rejects requests that can no longer finish in time, and starts those that may start now.
     pub fn tick(&mut self, now: Time, rng: &mut impl Rng) -> Vec<Action> {
         let mut actions = self.expire(now, rng);
-        actions.extend(self.start_all(now));
+        actions.extend(self.start_ready(now));
         actions
     }
 
@@ -262,11 +265,12 @@
             return None;
         }
         let expiry = self.queue.next_expiry();
-        // The request itself may start at its latest start; one step later it is late.
+        // A request may still start exactly at its latest start; one microsecond later it is
+        // late.
         let expiry = expiry.map(|at| at + Span::from_micros(1));
-        let turn = self.slots.next_turn(self.times.median(), now);
-        let rise = self.slots.next_rise(now);
-        [expiry, turn, rise].into_iter().flatten().min()
+        let resume = self.slots.next_resume(self.service_times.median(), now);
+        let rise = self.slots.next_limit_rise(now);
+        [expiry, resume, rise].into_iter().flatten().min()
     }
 
     fn expire(&mut self, now: Time, rng: &mut impl Rng) -> Vec<Action> {
@@ -274,15 +278,15 @@
         let limit = u64::from(self.limit(now));
         let drain = Span::from_micros(self.queue.backlog().as_micros() / limit);
         let mut refuse = |e: queue::Entry| {
-            let refusal = refused(Reason::Expired, drain, rng);
-            Action::Reject(e.key, refusal)
+            let rejection = rejection(Reason::Expired, drain, rng);
+            Action::Reject(e.key, rejection)
         };
         expired.into_iter().map(&mut refuse).collect()
     }
 
-    fn start_all(&mut self, now: Time) -> Vec<Action> {
+    fn start_ready(&mut self, now: Time) -> Vec<Action> {
         let mut actions = Vec::new();
-        let latency = self.times.median();
+        let latency = self.service_times.median();
         self.slots.advance(latency, now);
         loop {
             let capacity = self.slots.capacity(latency, now);
@@ -302,11 +306,11 @@
     }
 }
 
-/// Adds up to a half to the hint, at random.
+/// Creates a rejection, with up to half of the retry hint added at random.
 ///
-/// Load: a burst refused within one millisecond; harm: all of it comes back
-/// together and is refused again.
-fn refused(reason: Reason, base: Span, rng: &mut impl Rng) -> Rejection {
+/// Without it, a burst rejected within one millisecond would be retried together and rejected
+/// again.
+fn rejection(reason: Reason, base: Span, rng: &mut impl Rng) -> Rejection {
     let base = base.clamp(MIN_RETRY, MAX_RETRY).as_micros();
     let spread = rng.random_range(0..=base / 2);
     Rejection {
--- a/crates/policy/src/outlier.rs
+++ b/crates/policy/src/outlier.rs
@@ -1,4 +1,4 @@
-//! Which instances answer slowly compared with the others of their group.
+//! Outlier detection: which instances respond slowly compared with the others of their group.
 
 use std::collections::VecDeque;
 
@@ -7,31 +7,31 @@
 use model::unit::{Span, Time};
 use rand::Rng;
 
-/// Answers that are judged together.
+/// Number of recent responses that are evaluated together.
 const WINDOW: usize = 5;
 
-/// Slow answers among them that make an instance slow. Load: one server twenty
-/// times slower among three, and one long report among twenty short statements;
-/// harm: the slow server keeps its third of the reads. Four of five tells both
-/// apart: long reports fill a window three times in 100,000.
+/// Slow responses within the window that make an instance slow. If one of three servers is
+/// twenty times slower, it must not keep its third of the reads; one long report among twenty
+/// short statements must not count as a slow server. Four of five distinguishes the two: long
+/// reports fill a window three times in 100,000.
 const SLOW_OF_WINDOW: usize = 4;
 
-/// Multiple of the fastest other instance's median from which an answer is slow.
-/// Ordinary queueing at a shared server triples latency with nine proxies.
+/// Multiple of the fastest other instance's median from which a response is slow. Ordinary
+/// queueing at a shared server triples latency with nine proxies.
 const SLOW_FACTOR: u64 = 4;
 
-/// Answers faster than this are never slow; below it, jitter of the network decides.
+/// Faster responses are never slow; below this, network jitter dominates.
 const SLOW_FLOOR: Span = Span::from_millis(10);
 
-/// First pause before a slow instance is tried again. Short, since most slowness is
-/// a checkpoint or a collection of garbage.
-const FIRST_PAUSE: Span = Span::from_millis(250);
+/// First pause before a slow instance is tried again. Short, since most slow phases are due to
+/// a checkpoint or a garbage collection.
+const INITIAL_PAUSE: Span = Span::from_millis(250);
 
-/// Longest pause; an instance that recovered waits this long for reads at most.
-const LONGEST_PAUSE: Span = Span::from_millis(4_000);
+/// Maximum pause; an instance that recovered waits at most this long for reads.
+const MAX_PAUSE: Span = Span::from_millis(4_000);
 
-/// Good answers in a row after which a slow instance serves like the others.
-const GOOD_TRIALS: u32 = 3;
+/// Consecutive fast responses after which an ejected instance gets reads normally again.
+const REQUIRED_TRIALS: u32 = 3;
 
 /// Step of the running median, as a divisor.
 const MEDIAN_DIVISOR: u64 = 16;
@@ -39,44 +39,44 @@
 /// Whether an instance should get a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Eligibility {
-    /// Like the others.
+    /// It serves reads like the others.
     Normal,
-    /// One read is due as a trial; call [`Scores::started`] with it.
+    /// One read is due as a trial; call [`LatencyScores::started`] for it.
     Trial,
-    /// Only if no other instance can serve the read.
+    /// It serves the read only if no other instance can.
     Ejected,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Ejection {
     pause: Span,
-    next: Time,
-    good: u32,
-    trying: bool,
+    next_trial: Time,
+    successes: u32,
+    trial_running: bool,
 }
 
-/// How one instance answers.
+/// Latency statistics of one instance.
 #[derive(Clone, Debug, Default)]
 pub struct Score {
     median: Span,
     recent: VecDeque<bool>,
-    /// When each request in flight was sent; `true` once it counted as slow.
-    flying: VecDeque<(Time, bool)>,
-    shed: Option<Ejection>,
+    /// When each request in flight was sent; `true` once it was counted as slow.
+    in_flight: VecDeque<(Time, bool)>,
+    ejection: Option<Ejection>,
 }
 
 impl Score {
-    /// Median latency; zero before the first answer.
+    /// Median latency; zero before the first response.
     pub fn median(&self) -> Span {
         self.median
     }
 
-    /// Requests in flight.
+    /// Number of requests in flight.
     pub fn in_flight(&self) -> usize {
-        self.flying.len()
+        self.in_flight.len()
     }
 
-    fn judge(&mut self, slow: bool) {
+    fn record_outcome(&mut self, slow: bool) {
         self.recent.push_back(slow);
         if self.recent.len() > WINDOW {
             self.recent.pop_front();
@@ -87,20 +87,20 @@
         self.recent.iter().filter(|slow| **slow).count() >= SLOW_OF_WINDOW
     }
 
-    fn learn(&mut self, took: Span) {
+    fn update_median(&mut self, elapsed: Span) {
         let median = self.median.as_micros();
-        let took = took.as_micros();
+        let elapsed = elapsed.as_micros();
         let step = (median / MEDIAN_DIVISOR).max(1);
         let moved = match median {
-            0 => took,
-            _ if took > median => median + step,
+            0 => elapsed,
+            _ if elapsed > median => median + step,
             _ => median - step.min(median - 1),
         };
         self.median = Span::from_micros(moved.max(1));
     }
 }
 
-/// Scores of the instances of one group.
+/// Latency scores of the instances of one group.
 #[derive(Clone, Debug, Default)]
 pub struct LatencyScores {
     scores: IndexMap<InstanceId, Score>,
@@ -112,32 +112,32 @@
         self.scores.get(instance)
     }
 
-    /// Forgets instances that are no longer in the group.
+    /// Removes instances that are no longer in the group.
     pub fn retain(&mut self, keep: impl Fn(&InstanceId) -> bool) {
         self.scores.retain(|id, _| keep(id));
     }
 
     /// Whether an instance should get a read at `now`.
     pub fn eligibility(&mut self, instance: &InstanceId, now: Time) -> Eligibility {
-        self.overdue(instance, now);
-        let shed = self.scores.get(instance).and_then(|s| s.shed);
-        match shed {
+        self.count_overdue(instance, now);
+        let ejection = self.scores.get(instance).and_then(|s| s.ejection);
+        match ejection {
             None => Eligibility::Normal,
-            Some(shed) if !shed.trying && now >= shed.next => Eligibility::Trial,
+            Some(e) if !e.trial_running && now >= e.next_trial => Eligibility::Trial,
             Some(_) => Eligibility::Ejected,
         }
     }
 
-    /// A read was sent.
+    /// Records that a read was sent.
     pub fn started(&mut self, instance: &InstanceId, now: Time) {
         let score = self.scores.entry(instance.clone()).or_default();
-        score.flying.push_back((now, false));
-        if let Some(shed) = &mut score.shed {
-            shed.trying = true;
+        score.in_flight.push_back((now, false));
+        if let Some(ejection) = &mut score.ejection {
+            ejection.trial_running = true;
         }
     }
 
-    /// A read that was sent at `since` was answered.
+    /// Records the response to a read that was sent at `since`.
     pub fn response_received(
         &mut self,
         instance: &InstanceId,
@@ -145,55 +145,57 @@
         now: Time,
         rng: &mut impl Rng,
     ) {
-        let took = now.since(since);
-        let slow = self.limit(instance).is_some_and(|limit| took > limit);
+        let elapsed = now.since(since);
+        let slow = self
+            .slow_threshold(instance)
+            .is_some_and(|threshold| elapsed > threshold);
         let Some(score) = self.scores.get_mut(instance) else {
             return;
         };
-        let at = score.flying.iter().position(|(sent, _)| *sent == since);
-        let judged = at.and_then(|at| score.flying.remove(at));
-        if !judged.is_some_and(|(_, judged)| judged) {
-            score.judge(slow);
+        let at = score.in_flight.iter().position(|(sent, _)| *sent == since);
+        let counted = at.and_then(|at| score.in_flight.remove(at));
+        if !counted.is_some_and(|(_, counted)| counted) {
+            score.record_outcome(slow);
         }
-        score.learn(took);
-        settle(score, slow, now, rng);
+        score.update_median(elapsed);
+        update_ejection(score, slow, now, rng);
     }
 
-    /// A read that was sent at `since` ended without an answer that tells anything.
+    /// Records that a read sent at `since` ended without a meaningful response.
     pub fn cancelled(&mut self, instance: &InstanceId, since: Time) {
         let Some(score) = self.scores.get_mut(instance) else {
             return;
         };
-        let at = score.flying.iter().position(|(sent, _)| *sent == since);
-        at.and_then(|at| score.flying.remove(at));
-        if let Some(shed) = &mut score.shed {
-            shed.trying = false;
+        let at = score.in_flight.iter().position(|(sent, _)| *sent == since);
+        at.and_then(|at| score.in_flight.remove(at));
+        if let Some(ejection) = &mut score.ejection {
+            ejection.trial_running = false;
         }
     }
 
-    /// Counts reads that are in flight for too long already.
+    /// Counts reads that have been in flight too long as slow.
     ///
-    /// Failure: an instance hangs and answers nothing; it shows only as reads that
-    /// do not come back, and waiting for their answers would take seconds.
-    fn overdue(&mut self, instance: &InstanceId, now: Time) {
-        let limit = self.limit(instance);
-        let (Some(limit), Some(score)) = (limit, self.scores.get_mut(instance)) else {
+    /// An instance that hangs responds to nothing; this shows only in reads that stay in
+    /// flight, and waiting for their responses would take seconds.
+    fn count_overdue(&mut self, instance: &InstanceId, now: Time) {
+        let threshold = self.slow_threshold(instance);
+        let (Some(threshold), Some(score)) = (threshold, self.scores.get_mut(instance)) else {
             return;
         };
-        let late = |(sent, judged): &(Time, bool)| !judged && now.since(*sent) > limit;
-        let count = score.flying.iter().filter(|f| late(f)).count();
-        for (sent, judged) in &mut score.flying {
-            *judged |= now.since(*sent) > limit;
+        let late = |(sent, counted): &(Time, bool)| !counted && now.since(*sent) > threshold;
+        let count = score.in_flight.iter().filter(|f| late(f)).count();
+        for (sent, counted) in &mut score.in_flight {
+            *counted |= now.since(*sent) > threshold;
         }
-        (0..count).for_each(|_| score.judge(true));
-        if score.is_slow() && score.shed.is_none() {
-            score.shed = Some(shed(now, FIRST_PAUSE));
+        (0..count).for_each(|_| score.record_outcome(true));
+        if score.is_slow() && score.ejection.is_none() {
+            score.ejection = Some(eject(now, INITIAL_PAUSE));
         }
     }
 
-    /// Latency above which an answer of `instance` is slow; `None` without another
-    /// instance to compare with, so that a group that is slow as a whole sheds nothing.
-    fn limit(&self, instance: &InstanceId) -> Option<Span> {
+    /// Latency above which a response of `instance` is slow; `None` without another instance to
+    /// compare with, so that a group that is slow as a whole ejects none.
+    fn slow_threshold(&self, instance: &InstanceId) -> Option<Span> {
         let others = self.scores.iter().filter(|(id, _)| *id != instance);
         let medians = others.map(|(_, s)| s.median).filter(|m| m.as_micros() > 0);
         let fastest = medians.min()?;
@@ -201,39 +203,39 @@
     }
 }
 
-fn shed(now: Time, pause: Span) -> Ejection {
+fn eject(now: Time, pause: Span) -> Ejection {
     Ejection {
         pause,
-        next: now + pause,
-        good: 0,
-        trying: false,
+        next_trial: now + pause,
+        successes: 0,
+        trial_running: false,
     }
 }
 
-/// Moves a score between open and shed after an answer.
-fn settle(score: &mut Score, slow: bool, now: Time, rng: &mut impl Rng) {
-    let Some(mut state) = score.shed else {
+/// Ejects or restores an instance after a response.
+fn update_ejection(score: &mut Score, slow: bool, now: Time, rng: &mut impl Rng) {
+    let Some(mut state) = score.ejection else {
         if score.is_slow() {
-            score.shed = Some(shed(now, FIRST_PAUSE));
+            score.ejection = Some(eject(now, INITIAL_PAUSE));
         }
         return;
     };
-    if !state.trying {
-        // An answer to a read that was sent before the instance was found slow.
+    if !state.trial_running {
+        // A response to a read that was sent before the instance was ejected.
         return;
     }
     if slow {
-        let pause = state.pause.times(2).min(LONGEST_PAUSE);
-        // Proxies that found it slow together must not try it together.
+        let pause = state.pause.times(2).min(MAX_PAUSE);
+        // Proxies that ejected it at the same time must not try it at the same time.
         let jitter = rng.random_range(0..=pause.as_micros() / 4);
-        score.shed = Some(shed(now + Span::from_micros(jitter), pause));
+        score.ejection = Some(eject(now + Span::from_micros(jitter), pause));
         return;
     }
-    state.good += 1;
-    state.trying = false;
-    state.next = now;
-    score.shed = (state.good < GOOD_TRIALS).then_some(state);
-    if score.shed.is_none() {
+    state.successes += 1;
+    state.trial_running = false;
+    state.next_trial = now;
+    score.ejection = (state.successes < REQUIRED_TRIALS).then_some(state);
+    if score.ejection.is_none() {
         score.recent.clear();
     }
 }
--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/queue.rs
@@ -1,9 +1,8 @@
-//! Fair queue of one backend server: start-time fair queueing over callers, and
-//! within a caller over classes, charged by expected service time.
+//! Fair queue of one backend server: start-time fair queueing over callers, and within a caller
+//! over classes, charged by expected service time.
 //!
-//! Urgent classes of a caller that stays near its share go before everything
-//! else; the caller's account is charged all the same, so that urgency moves
-//! work forward in time but never buys a larger share.
+//! Urgent requests of a caller near its share precede all others. They are charged to the
+//! caller all the same, so urgency lets work run earlier but never buys a larger share.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -15,26 +14,26 @@
 use crate::service_time;
 use crate::slots::Capacity;
 
-/// Class weight from which requests are urgent. Load: listings fill the queue
-/// while a payment arrives; harm: the payment waits a round of all callers.
-/// Four keeps weights 1 to 3 for shading among ordinary classes.
+/// Class weight from which requests are urgent. While listings fill the queue, a payment would
+/// otherwise wait a round of all callers. The threshold of four leaves weights 1 to 3 to rank
+/// ordinary classes.
 pub const URGENT_WEIGHT: u32 = 4;
 
-/// How far ahead of its share a caller may be and still be served urgently, in
-/// microseconds of service at weight 1. Load: a burst of payments by one caller;
-/// harm if larger: a caller that marks everything as payment delays the others
-/// by this much once; harm if smaller: a tenant's few payments in a row lose
-/// their urgency. 100 ms is twenty short statements.
+/// How far ahead of its share a caller may be and still be served urgently, in microseconds of
+/// service at weight 1. It allows for a burst of payments by one caller. If it is larger, a
+/// caller that marks everything as payment delays the others by this much once; if it is
+/// smaller, a few payments of a tenant in a row lose their urgency. 100 ms is twenty short
+/// statements.
 const URGENT_LEAD: u64 = 100_000;
 
-/// Identifies a queued request.
+/// Key of a queued request, in order of arrival.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Key(pub u64);
 
-/// A request that asks for a slot.
+/// A request for a slot.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Request {
-    /// Who asks.
+    /// The caller.
     pub caller: id::CallerId,
     /// The caller's share against other callers; at least 1.
     pub weight: u32,
@@ -44,7 +43,7 @@
     pub class_weight: u32,
     /// Shape of the statement, by which its service time is learned.
     pub shape: service_time::Shape,
-    /// Moment after which the answer is useless to the caller.
+    /// Time after which the caller no longer needs the response.
     pub deadline: Time,
 }
 
@@ -53,7 +52,7 @@
 pub struct Entry {
     /// The request's key.
     pub key: Key,
-    /// What was asked.
+    /// The request itself.
     pub request: Request,
     /// Expected service time.
     pub cost: Span,
@@ -61,38 +60,38 @@
     pub length: service_time::Length,
     /// When it was queued.
     pub since: Time,
-    /// Wait that the backlog alone suggested then.
+    /// The wait forecast from the backlog at that time.
     pub forecast: Span,
 }
 
 impl Entry {
-    /// Moment after which the request could not finish within its deadline.
+    /// Time after which the request could not finish within its deadline.
     pub fn latest_start(&self) -> Time {
         let deadline = self.request.deadline.as_micros();
         Time::from_micros(deadline.saturating_sub(self.cost.as_micros()))
     }
 }
 
-/// Weight of a new sample of a lane's bias, and the range that it is kept in.
-/// A tenth follows a change of the load within ten requests.
+/// Weight of a new sample of a lane's bias, and the bounds of the bias. A weight of a tenth
+/// follows a change of the load within ten requests.
 const BIAS_SMOOTHING: f64 = 0.1;
 const BIAS_RANGE: std::ops::RangeInclusive<f64> = 0.25..=16.0;
 
-/// Shorter forecasts say nothing about the bias. Load: a burst after a calm time;
-/// harm: a wait of 10 ms against a forecast of 3 ms makes the burst look three times
-/// as long as it is, and 1.2 % of it is refused needlessly.
-const LEAST_FORECAST: Span = Span::from_millis(10);
+/// Shorter forecasts are not used for the bias. In a burst after a calm period, a wait of 10 ms
+/// against a forecast of 3 ms would make the burst appear three times as long as it is, and 1.2
+/// % of it would be rejected needlessly.
+const MIN_FORECAST: Span = Span::from_millis(10);
 
-/// Requests of one caller, class and length, first come first served.
+/// Requests of one caller, class and length, first come, first served.
 #[derive(Clone, Debug)]
 struct Lane {
     weight: u32,
-    /// Waits of late against their forecasts. The forecast counts the backlog and
-    /// cannot know of urgent requests that arrive later and go first.
+    /// Recent waits relative to their forecasts. A forecast counts the backlog and cannot
+    /// include urgent requests that arrive later and are served first.
     bias: f64,
-    /// Service received, divided by the weight.
-    finish: u64,
-    /// Expected service time of what is queued.
+    /// Virtual finish time: service received, divided by the weight.
+    virtual_finish: u64,
+    /// Expected service time of the queued requests.
     backlog: u64,
     keys: VecDeque<Key>,
 }
@@ -102,7 +101,7 @@
         Self {
             weight: 1,
             bias: 1.0,
-            finish: 0,
+            virtual_finish: 0,
             backlog: 0,
             keys: VecDeque::new(),
         }
@@ -110,8 +109,8 @@
 }
 
 impl Lane {
-    fn learn(&mut self, waited: Span, forecast: Span) {
-        if forecast < LEAST_FORECAST {
+    fn record_wait(&mut self, waited: Span, forecast: Span) {
+        if forecast < MIN_FORECAST {
             return;
         }
         let sample = waited.as_micros() as f64 / forecast.as_micros() as f64;
@@ -125,11 +124,12 @@
 #[derive(Clone, Debug, Default)]
 struct Flow {
     weight: u32,
-    /// Service received, divided by the weight, on the queue's virtual clock.
-    finish: u64,
+    /// Virtual finish time: service received, divided by the weight, on the queue's virtual
+    /// clock.
+    virtual_finish: u64,
     /// Virtual clock of the lanes.
     clock: u64,
-    /// Expected service time of what is queued.
+    /// Expected service time of the queued requests.
     backlog: u64,
     lanes: IndexMap<LaneKey, Lane>,
 }
@@ -141,8 +141,8 @@
         lanes.map(|(at, (_, lane))| (at, lane))
     }
 
-    /// Rank of the most urgent request, the heaviest class and then the oldest first.
-    fn first_urgent(&self, capacity: Capacity) -> Option<(Reverse<u32>, Key)> {
+    /// Rank of the most urgent request: the highest class weight first, then the oldest.
+    fn most_urgent(&self, capacity: Capacity) -> Option<(Reverse<u32>, Key)> {
         let lanes = self
             .lanes(capacity)
             .filter(|(_, l)| l.weight >= URGENT_WEIGHT);
@@ -151,9 +151,9 @@
             .min()
     }
 
-    /// The lane whose turn it is: least service for its weight, the heavier first.
+    /// The lane to serve next: the least service for its weight, the heavier lane on a tie.
     fn next_lane(&self, capacity: Capacity) -> Option<usize> {
-        let turn = |lane: &Lane| (lane.finish.max(self.clock), Reverse(lane.weight));
+        let turn = |lane: &Lane| (lane.virtual_finish.max(self.clock), Reverse(lane.weight));
         let lanes = self.lanes(capacity);
         lanes.min_by_key(|(_, l)| turn(l)).map(|(at, _)| at)
     }
@@ -203,19 +203,20 @@
         Span::from_micros(self.backlog)
     }
 
-    /// Number of accounts kept; bounded by callers that are queued or ahead.
-    pub fn accounts(&self) -> usize {
+    /// Number of callers with a flow; bounded by callers that have queued requests or are ahead
+    /// of their share.
+    pub fn flow_count(&self) -> usize {
         self.flows.len()
     }
 
-    /// Expected service time that goes before a new request of this kind: its
-    /// caller's backlog, and as much of each other caller's as is served meanwhile.
-    pub fn ahead_of(&self, request: &Request, cost: Span) -> Span {
+    /// Expected service time that is served before a new request of this kind: its caller's
+    /// backlog, and as much of each other caller's as is served meanwhile.
+    pub fn work_ahead_of(&self, request: &Request, cost: Span) -> Span {
         let own = self.flows.get(&request.caller);
         let urgent = request.class_weight >= URGENT_WEIGHT;
         let weight = u64::from(request.weight.max(1));
-        let finish = own.map_or(0, |f| f.finish);
-        if urgent && finish <= self.clock + URGENT_LEAD {
+        let virtual_finish = own.map_or(0, |f| f.virtual_finish);
+        if urgent && virtual_finish <= self.clock + URGENT_LEAD {
             let flows = self.flows.values();
             return Span::from_micros(flows.map(Flow::urgent_backlog).sum());
         }
@@ -228,7 +229,7 @@
         Span::from_micros(own + others)
     }
 
-    /// How much longer requests of this kind wait than the backlog suggests.
+    /// How much longer requests of this kind wait than the backlog suggests, as a factor.
     pub fn bias(&self, request: &Request, length: service_time::Length) -> f64 {
         let flow = self.flows.get(&request.caller);
         let lane = flow.and_then(|f| f.lanes.get(&(request.class.clone(), length)));
@@ -241,14 +242,14 @@
         let flow = self.flows.entry(entry.request.caller.clone()).or_default();
         flow.weight = entry.request.weight.max(1);
         if flow.is_idle() {
-            // An idle caller gains nothing for the time it asked for nothing;
-            // otherwise it could later shut out everyone for as long.
-            flow.finish = flow.finish.max(self.clock);
+            // A caller gains no credit for idle time; otherwise it could later block all others
+            // for as long.
+            flow.virtual_finish = flow.virtual_finish.max(self.clock);
         }
         let lane = (entry.request.class.clone(), entry.length);
         let lane = flow.lanes.entry(lane).or_default();
         lane.weight = entry.request.class_weight.max(1);
-        lane.finish = lane.finish.max(flow.clock);
+        lane.virtual_finish = lane.virtual_finish.max(flow.clock);
         lane.keys.push_back(entry.key);
         lane.backlog += cost;
         flow.backlog += cost;
@@ -257,7 +258,7 @@
         self.entries.insert(entry.key, entry);
     }
 
-    /// Takes the request whose turn it is.
+    /// Removes and returns the request to serve next.
     pub fn pop(&mut self, capacity: Capacity, now: Time) -> Option<Entry> {
         self.advance_clock();
         let at = self.next_flow(capacity)?;
@@ -267,17 +268,17 @@
         let key = *lane.keys.front()?;
         let entry = self.entries.get(&key)?;
         let cost = entry.cost.as_micros();
-        lane.learn(now.since(entry.since), entry.forecast);
-        let start = lane.finish.max(flow.clock);
-        lane.finish = start + cost / u64::from(lane.weight);
+        lane.record_wait(now.since(entry.since), entry.forecast);
+        let start = lane.virtual_finish.max(flow.clock);
+        lane.virtual_finish = start + cost / u64::from(lane.weight);
         flow.clock = start;
-        flow.finish += cost / u64::from(flow.weight);
+        flow.virtual_finish += cost / u64::from(flow.weight);
         self.remove(key)
     }
 
     fn advance_clock(&mut self) {
         let waiting = self.flows.values().filter(|f| !f.is_idle());
-        if let Some(least) = waiting.map(|f| f.finish).min() {
+        if let Some(least) = waiting.map(|f| f.virtual_finish).min() {
             self.clock = self.clock.max(least);
         }
     }
@@ -285,33 +286,33 @@
     fn next_flow(&self, capacity: Capacity) -> Option<usize> {
         let lead = self.clock + URGENT_LEAD;
         let flows = || self.flows.values().enumerate();
-        // In order of arrival, not of accounts: all are near their shares, and the
-        // longest wait is what callers notice.
+        // Ordered by class weight and arrival, not by service received: all these callers are
+        // near their shares, and callers notice the longest wait most.
         let urgent = flows()
-            .filter(|(_, f)| f.finish <= lead)
-            .filter_map(|(at, f)| Some((f.first_urgent(capacity)?, at)))
+            .filter(|(_, f)| f.virtual_finish <= lead)
+            .filter_map(|(at, f)| Some((f.most_urgent(capacity)?, at)))
             .min();
         let least = || {
             flows()
                 .filter(|(_, f)| f.lanes(capacity).next().is_some())
-                .min_by_key(|(_, f)| f.finish)
+                .min_by_key(|(_, f)| f.virtual_finish)
                 .map(|(at, _)| at)
         };
         urgent.map(|(_, at)| at).or_else(least)
     }
 
-    /// Corrects a caller's account once the true service time is known.
+    /// Corrects a caller's charge once the actual service time is known.
     ///
-    /// Without it a caller whose statements cost more than expected would get
-    /// more than its share.
-    pub fn settle(&mut self, request: &Request, expected: Span, took: Span) {
+    /// Otherwise a caller whose statements cost more than expected would get more than its
+    /// share.
+    pub fn adjust_charge(&mut self, request: &Request, expected: Span, took: Span) {
         let Some(flow) = self.flows.get_mut(&request.caller) else {
             return;
         };
         let weight = u64::from(flow.weight);
         let expected = expected.as_micros() / weight;
         let took = took.as_micros() / weight;
-        flow.finish = (flow.finish + took).saturating_sub(expected);
+        flow.virtual_finish = (flow.virtual_finish + took).saturating_sub(expected);
     }
 
     /// Removes a request, for instance because its caller went away.
@@ -328,27 +329,27 @@
             lane.keys.remove(at);
             lane.backlog -= cost;
         }
-        self.forget(&entry.request.caller);
+        self.drop_settled_flows(&entry.request.caller);
         Some(entry)
     }
 
-    /// Drops accounts that say nothing any more, which bounds memory by the
-    /// callers that are queued or ahead of their share. Once nothing waits,
-    /// nobody was kept from service, so all start level again.
-    fn forget(&mut self, caller: &id::CallerId) {
+    /// Drops flows that are idle and not ahead of the virtual clock, which bounds memory by the
+    /// callers that have queued requests or are ahead of their share. Once the queue is empty,
+    /// no caller is being kept from service, so all start equal again.
+    fn drop_settled_flows(&mut self, caller: &id::CallerId) {
         let clock = self.clock;
-        let done = |f: &Flow| f.is_idle() && f.finish <= clock;
+        let done = |f: &Flow| f.is_idle() && f.virtual_finish <= clock;
         if self.flows.get(caller).is_some_and(done) {
             self.flows.swap_remove(caller);
         }
         if self.entries.is_empty() {
-            let last = self.flows.values().map(|f| f.finish).max();
+            let last = self.flows.values().map(|f| f.virtual_finish).max();
             self.clock = clock.max(last.unwrap_or(clock));
             self.flows.clear();
         }
     }
 
-    /// Takes every request that can no longer finish within its deadline.
+    /// Removes and returns every request that can no longer finish within its deadline.
     pub fn expire(&mut self, now: Time) -> Vec<Entry> {
         let mut expired = Vec::new();
         while let Some((start, key)) = self.by_start.first().copied() {
@@ -360,20 +361,20 @@
         expired
     }
 
-    /// When the next request must be given up, if none starts before.
+    /// When the next request expires, if it does not start before.
     pub fn next_expiry(&self) -> Option<Time> {
         self.by_start.first().map(|(start, _)| *start)
     }
 
-    /// Takes the newest request of the lightest class of the caller with the
-    /// largest backlog for its weight, unless that caller is `asking`.
+    /// Evicts the newest request of the lowest class weight of the caller with the largest
+    /// backlog for its weight, unless that caller is `requester`.
     ///
-    /// Load: one caller floods a full queue; harm: the others are refused for
-    /// want of space that they did not use.
-    pub fn push_out(&mut self, asking: &id::CallerId) -> Option<Entry> {
+    /// When one caller floods a full queue, the others would otherwise be rejected for lack of
+    /// space that they did not use.
+    pub fn evict_for(&mut self, requester: &id::CallerId) -> Option<Entry> {
         let load = |f: &Flow| f.backlog / u64::from(f.weight.max(1));
         let (caller, flow) = self.flows.iter().max_by_key(|(_, f)| load(f))?;
-        if caller == asking {
+        if caller == requester {
             return None;
         }
         let lanes = flow.lanes.values().filter(|lane| !lane.keys.is_empty());
