--- a/crates/policy/tests/pool_age.rs
+++ b/crates/policy/tests/pool_age.rs
@@ -1,4 +1,4 @@
-//! Which of a pool's connections are used and kept, where those opened first matter.
+//! Which connections a pool uses and keeps, where the age of connections matters.
 
 use model::entry::Entry;
 use model::id::InstanceId;
@@ -7,7 +7,7 @@
 use policy::pool::{Action, ConnRequest, Kind, Pool};
 use policy::proof::Proof;
 
-/// The milliseconds at which a connection was opened are its name.
+/// Each connection is named by the millisecond at which it was opened.
 type Conns = Pool<u64, u32>;
 
 fn at(ms: u64) -> Time {
@@ -31,7 +31,7 @@
     }
 }
 
-/// A pool with idle connections, given back in this order.
+/// A pool with idle connections, added in this order.
 fn pool(opened: &[u64]) -> Conns {
     let mut pool = Conns::new().prefer_oldest(|opened| at(*opened));
     pool.set_shares(9, 9, true);
@@ -70,45 +70,47 @@
     })
 }
 
-/// Guards against bursts that leave only young connections, none of which proves a write.
+/// Guards against bursts that leave only young connections, none of which is eligible for
+/// replica acknowledgements.
 #[test]
 fn the_connection_opened_first_is_used_first() {
     let mut pool = pool(&[5, 3, 4]);
     assert_eq!(granted(pool.request(request(), 1, at(20))), Some(3));
 }
 
-/// Guards against a replica without a connection that counts when the one that proved writes
-/// becomes the primary: the owner asks for as long as the oldest one is new.
+/// Guards against a replica without an eligible connection when the one that acknowledged
+/// writes becomes the primary: the owner of the pool queries the store for as long as the
+/// oldest connection is new.
 #[test]
 fn the_oldest_connection_of_each_replica_is_known() {
     let oldest: Vec<_> = pool(&[5, 3, 4]).oldest_per_replica().collect();
     assert_eq!(oldest, [at(3)]);
 }
 
-/// Guards against a question to the store for each statement under steady load: the oldest
-/// connection is always in use then, and only younger ones are idle.
+/// Guards against a store query for each statement under steady load: the oldest connection is
+/// then always in use, and only younger ones are idle.
 #[test]
-fn a_lent_connection_still_counts_by_its_age() {
+fn a_checked_out_connection_keeps_its_age() {
     let mut pool = pool(&[3, 5]);
-    let lent = granted(pool.request(request(), 1, at(20)));
-    assert_eq!(lent, Some(3));
+    let checked_out = granted(pool.request(request(), 1, at(20)));
+    assert_eq!(checked_out, Some(3));
     assert_eq!(pool.oldest_per_replica().collect::<Vec<_>>(), [at(3)]);
-    pool.release(&id(), lent, None, at(30));
+    pool.release(&id(), checked_out, None, at(30));
     assert_eq!(pool.oldest_per_replica().collect::<Vec<_>>(), [at(3)]);
 }
 
-/// Guards against a connection that broke on loan and is taken for one that still counts.
+/// Guards against counting a connection that broke while it was checked out as still eligible.
 #[test]
-fn a_connection_that_breaks_on_loan_counts_no_longer() {
+fn a_connection_broken_while_checked_out_is_forgotten() {
     let mut pool = pool(&[3, 5]);
     pool.request(request(), 1, at(20));
     pool.release(&id(), None, None, at(30));
     assert_eq!(pool.oldest_per_replica().collect::<Vec<_>>(), [at(5)]);
 }
 
-/// The same, where it is not known yet that it broke: its instance has started again.
+/// The same, if the break is not known yet because the instance has restarted.
 #[test]
-fn a_connection_on_loan_to_an_earlier_process_counts_no_longer() {
+fn a_restart_resets_the_age_of_checked_out_connections() {
     let mut pool = pool(&[3, 5]);
     pool.request(request(), 1, at(20));
     let restarted = Entry {
@@ -119,7 +121,8 @@
     assert_eq!(pool.oldest_per_replica().collect::<Vec<_>>(), [at(30)]);
 }
 
-/// The same, where one too many is idle.
+/// Guards, as above, against bursts that leave only young connections: of two idle connections
+/// the younger is closed.
 #[test]
 fn the_connection_opened_last_is_closed_first() {
     let mut pool = pool(&[3, 5]);
@@ -127,10 +130,10 @@
     assert!(closed(&pool.tick(at(2_000))).is_empty());
 }
 
-/// Guards against writes in doubt beside a replica that leaves and alone receives: without a
-/// connection from before, a new one would not count during the change of primary.
+/// Guards against writes in doubt when a leaving replica is the only one that receives the log:
+/// without an earlier connection, a new one would not be eligible during the change of primary.
 #[test]
-fn one_connection_to_a_leaving_instance_stays() {
+fn one_connection_to_a_leaving_instance_is_kept() {
     let mut pool = pool(&[3, 5, 4]);
     pool.set_entries(&[entry(true)], |_| Span::from_millis(1), at(20));
     let mut closed = closed(&pool.tick(at(30)));
@@ -143,11 +146,11 @@
     actions.iter().filter(open).count()
 }
 
-/// Guards against writes in doubt when the store goes away just as traffic begins: the
-/// replicas were announced after the primary had proved that it leads, and nobody had a
-/// connection to them that counts.
+/// Guards against writes in doubt when the store becomes unavailable just as traffic begins:
+/// the replicas were announced after the primary had proved that it leads, and no proxy had an
+/// eligible connection to them.
 #[test]
-fn a_replica_that_is_announced_late_is_connected_to() {
+fn a_replica_announced_late_gets_a_connection() {
     let mut pool = Conns::new().prefer_oldest(|opened| at(*opened));
     pool.set_shares(9, 9, true);
     pool.set_entries(&[entry(false)], |_| Span::from_millis(1), at(0));
@@ -155,16 +158,16 @@
     assert_eq!(
         count_opens(&pool.open_missing(at(20))),
         0,
-        "it is on the way"
+        "it is being opened"
     );
     pool.open_completed(&id(), Ok(15), at(30));
     assert_eq!(count_opens(&pool.open_missing(at(40))), 0);
 }
 
-/// Guards against connections that nobody uses: to an instance that leaves, or of a proxy that
-/// borrows.
+/// Guards against unused connections: to an instance that leaves, or at a proxy that uses
+/// poolers.
 #[test]
-fn who_does_not_need_a_connection_opens_none() {
+fn unneeded_connections_are_not_opened() {
     let mut pool = Conns::new().prefer_oldest(|opened| at(*opened));
     pool.set_entries(&[entry(true)], |_| Span::from_millis(1), at(0));
     assert_eq!(count_opens(&pool.open_missing(at(10))), 0);
@@ -173,10 +176,10 @@
     assert_eq!(count_opens(&pool.open_missing(at(30))), 0);
 }
 
-/// Guards against writes on an instance that is about to end: the proxy was cut off from the
-/// store when the instance said that it leaves, and heard of it three seconds later.
+/// Guards against writes to an instance that is about to stop: the proxy was disconnected from
+/// the store when the instance announced that it leaves, and learned of it three seconds later.
 #[test]
-fn a_leaving_primary_is_given_writes_as_if_its_leaving_was_heard_at_once() {
+fn write_time_of_a_leaving_primary_counts_from_the_announcement() {
     let mut pool = pool(&[3]);
     let proof = Proof {
         since: at(12),
@@ -190,8 +193,8 @@
         deadline: at(now + 100),
         ..request()
     };
-    let lent = granted(pool.request(write(5_000), 1, at(5_000)));
-    assert_eq!(lent, Some(3), "another one may not lead yet");
-    pool.release(&id(), lent, None, at(5_050));
+    let checked_out = granted(pool.request(write(5_000), 1, at(5_000)));
+    assert_eq!(checked_out, Some(3), "another instance may not lead yet");
+    pool.release(&id(), checked_out, None, at(5_050));
     assert_eq!(granted(pool.request(write(5_200), 2, at(5_200))), None);
 }
--- a/crates/policy/tests/pool_restart.rs
+++ b/crates/policy/tests/pool_restart.rs
@@ -1,5 +1,5 @@
-//! A fleet that restarts at once, before an instance that still holds its connections of
-//! before: how soon each proxy has its part of the connections.
+//! How soon each proxy has its share of the connections after a fleet restarts at once, while
+//! an instance still holds the earlier connections.
 
 use model::entry::Entry;
 use model::id::InstanceId;
@@ -12,7 +12,7 @@
 const CONNECTIONS: u32 = 108;
 const PROXIES: u32 = 24;
 
-/// When the instance drops the connections of before.
+/// When the instance drops the earlier connections.
 const DROPPED_AT: u64 = 1_500;
 
 const STEP: u64 = 10;
@@ -64,14 +64,14 @@
     actions.iter().filter(open).count()
 }
 
-/// Plays the restart; gives the refusals of the instance, and each proxy's connections at
-/// the end. Every proxy has as many transactions as its part, which keep their connections.
-fn play(until: u64) -> (u32, Vec<u32>) {
+/// Simulates the restart; returns the refusals by the instance, and each proxy's connections at
+/// the end. Every proxy has as many transactions as its share, which keep their connections.
+fn simulate(until: u64) -> (u32, Vec<u32>) {
     let mut pools: Vec<_> = (0..PROXIES).map(|_| pool()).collect();
     let mut refused = 0;
     for pool in &mut pools {
-        for who in 0..CONNECTIONS / PROXIES {
-            pool.request(request(), who, at(0));
+        for waiter in 0..CONNECTIONS / PROXIES {
+            pool.request(request(), waiter, at(0));
         }
     }
     let mut taken = 0;
@@ -80,14 +80,14 @@
         .map(|p| p.instance(&id()).unwrap().opening())
         .collect();
     for now in (0..until).step_by(STEP as usize) {
-        let held = if now < DROPPED_AT {
+        let old_connections = if now < DROPPED_AT {
             CONNECTIONS - 12
         } else {
             0
         };
         for (pool, opening) in pools.iter_mut().zip(&mut opening) {
             for _ in 0..std::mem::take(opening) {
-                let full = held + taken >= CONNECTIONS;
+                let full = old_connections + taken >= CONNECTIONS;
                 let result = if full { Err(OpenError::Full) } else { Ok(()) };
                 taken += u32::from(!full);
                 refused += u32::from(full);
@@ -102,19 +102,19 @@
 }
 
 /// Guards against callers of a few proxies that wait for seconds while all others are served:
-/// those that the instance refused went on with one connection.
+/// proxies that the instance had refused continued with one connection.
 #[test]
-fn each_proxy_has_its_part_soon_after_the_old_connections_go() {
-    let (_, counts) = play(DROPPED_AT + 1_500);
-    let least = counts.iter().min().copied().unwrap();
-    assert_eq!(least, CONNECTIONS / PROXIES, "{counts:?}");
+fn each_proxy_soon_has_its_share_after_a_restart() {
+    let (_, counts) = simulate(DROPPED_AT + 1_500);
+    let fewest = counts.iter().min().copied().unwrap();
+    assert_eq!(fewest, CONNECTIONS / PROXIES, "{counts:?}");
 }
 
-/// Guards against a fleet that keeps an instance busy with refusals: each costs it as much
-/// as a connection.
+/// Guards against a fleet that keeps an instance busy with refusals: each costs it as much as a
+/// connection.
 #[test]
-fn a_full_instance_is_asked_now_and_then() {
-    let (refused, _) = play(DROPPED_AT);
+fn a_full_instance_is_retried_rarely() {
+    let (refused, _) = simulate(DROPPED_AT);
     let each = refused.div_ceil(PROXIES);
     assert!(each <= 10, "{refused} refusals of {PROXIES} proxies");
 }
--- a/crates/policy/tests/queue.rs
+++ b/crates/policy/tests/queue.rs
@@ -1,4 +1,4 @@
-//! Order, fairness and refusals of the queue in front of one backend server.
+//! Order, fairness and rejections of the queue of one backend server.
 
 use model::unit::{Span, Time};
 use policy::admission::{Action, Admission, Completion, Limits, Reason};
@@ -55,7 +55,7 @@
         self.admission.submit(request, now, &mut self.rng)
     }
 
-    /// Ends `key` and returns the one that starts in its place.
+    /// Ends `key` and returns the one that starts instead.
     fn next(&mut self, key: Key, ms: u64) -> Option<Key> {
         let now = Time::from_millis(ms);
         let actions = self.admission.finished(key, Completion::Responded, now);
@@ -63,10 +63,10 @@
     }
 }
 
-// A tenant's payment arrives behind fifty listings of its own and of others.
-// It is the next to start, because its class is urgent and its caller near its share.
+// A tenant's payment arrives behind fifty listings of its own and of others. It is the next to
+// start, because its class is urgent and its caller near its share.
 #[test]
-fn payment_passes_listings() {
+fn payment_precedes_listings() {
     let mut b = Bench::new(ONE_SLOT);
     let (first, _) = b.enter(request("a", 1, 10_000), 0);
     for n in 0..50 {
@@ -76,8 +76,8 @@
     assert_eq!(b.next(first, 5), Some(payment));
 }
 
-// One caller floods the queue, then another asks once. The second does not wait
-// behind the flood, because callers take turns.
+// One caller floods the queue, then another sends one request. It does not wait behind the
+// flood, because callers are served in turn.
 #[test]
 fn callers_take_turns() {
     let mut b = Bench::new(ONE_SLOT);
@@ -91,9 +91,8 @@
     assert!(second == quiet || third == quiet);
 }
 
-// Two callers send nothing but payments, far above their shares, and one has a
-// listing waiting as well. The listing runs, after at most as many payments as
-// the weights allow.
+// Two callers send only payments, far above their shares, and one also has a listing waiting.
+// The listing runs, after at most as many payments as the weights allow.
 #[test]
 fn no_class_starves() {
     let mut b = Bench::new(ONE_SLOT);
@@ -111,26 +110,26 @@
     assert!(turns <= 2 * 10, "the listing ran after {turns} requests");
 }
 
-// The backlog is 500 ms long and a caller waits 100 ms at most. It is refused on
-// arrival, and told to come back when the backlog will have gone.
+// The backlog is 500 ms long, and a caller waits 100 ms at most. It is rejected on arrival,
+// with the time until the backlog is served as a retry hint.
 #[test]
-fn refuses_at_the_door() {
+fn requests_with_too_long_a_wait_are_rejected_on_arrival() {
     let mut b = Bench::new(ONE_SLOT);
     for _ in 0..100 {
         b.enter(request("a", 1, 10_000), 0);
     }
     let (key, actions) = b.enter(request("a", 1, 100), 0);
-    let [Action::Reject(refused, why)] = actions.as_slice() else {
+    let [Action::Reject(rejected, why)] = actions.as_slice() else {
         panic!("admitted: {actions:?}");
     };
-    assert_eq!((*refused, why.reason), (key, Reason::Backlog));
+    assert_eq!((*rejected, why.reason), (key, Reason::Backlog));
     assert!(why.retry_after >= Span::from_millis(300), "{why}");
 }
 
-// A statement holds the only slot for a second. The request behind it is given
-// up at the moment at which it could not finish any more, not at its deadline.
+// A statement occupies the only slot for a second. The request behind it is rejected as soon as
+// it can no longer finish in time, not at its deadline.
 #[test]
-fn gives_up_at_once() {
+fn late_requests_are_rejected_early() {
     let mut b = Bench::new(ONE_SLOT);
     b.enter(request("a", 1, 10_000), 0);
     let (late, _) = b.enter(request("b", 1, 100), 0);
@@ -142,11 +141,11 @@
     assert_eq!(b.admission.queued(), 0);
 }
 
-// The queue is full of one caller's requests when another caller arrives. The
-// newest of the flood is refused in its place; the flood itself gets no more room.
+// The queue is full of one caller's requests when another caller arrives. The newest request of
+// the flood is evicted for it; the flooding caller itself gets no more space.
 #[test_case("quiet", true; "another caller")]
 #[test_case("flood", false; "the flooding caller")]
-fn full_queue(caller: &str, admitted: bool) {
+fn full_queue_evicts_the_largest_backlog(caller: &str, admitted: bool) {
     let mut b = Bench::new(ONE_SLOT);
     for _ in 0..=ONE_SLOT.queue {
         b.enter(request("flood", 1, 100_000), 0);
