--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -28,13 +28,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Reason {
     /// The expected wait exceeds the deadline.
-    #[error("the expected wait outlives the deadline")]
+    #[error("the expected wait exceeds the deadline")]
     Backlog,
     /// The queue is full, and this caller has the largest part of it.
     #[error("the queue is full")]
     Full,
     /// It can no longer finish within its deadline.
-    #[error("the deadline would pass before an answer")]
+    #[error("the deadline would pass before a response")]
     Expired,
 }
 
@@ -277,11 +277,11 @@
         let expired = self.queue.expire(now);
         let limit = u64::from(self.limit(now));
         let drain = Span::from_micros(self.queue.backlog().as_micros() / limit);
-        let mut refuse = |e: queue::Entry| {
+        let mut reject = |e: queue::Entry| {
             let rejection = rejection(Reason::Expired, drain, rng);
             Action::Reject(e.key, rejection)
         };
-        expired.into_iter().map(&mut refuse).collect()
+        expired.into_iter().map(&mut reject).collect()
     }
 
     fn start_ready(&mut self, now: Time) -> Vec<Action> {
--- a/crates/policy/src/pool.rs
+++ b/crates/policy/src/pool.rs
@@ -123,9 +123,9 @@
 
     /// Like [`Pool::set_entries`], for changes that may have been made as early as `since`.
     ///
-    /// When a primary starts to leave while this proxy is disconnected from the store, the
-    /// proxy learns of it late. Counted from that moment, it would keep writing there for the
-    /// whole permitted time, during which the instance stops.
+    /// A proxy that is disconnected from the store while a primary starts to leave learns of it
+    /// late. If the time for which it may still write there began only then, the instance would
+    /// stop before that time is over.
     pub fn set_entries_since(
         &mut self,
         entries: &[Entry],
@@ -217,7 +217,7 @@
     pub fn request(&mut self, request: ConnRequest, waiter: W, now: Time) -> Vec<Action<C, W>> {
         self.track_accepted_age(&request.kind, now);
         if !request.may_wait && self.is_unreachable(&request, now) {
-            let rejection = unreachable();
+            let rejection = unreachable_rejection();
             return vec![Action::Reject(waiter, rejection)];
         }
         if self.waiting.len() >= MAX_WAITING || self.is_futile(&request, now) {
@@ -239,7 +239,7 @@
         while at < self.waiting.len() {
             if self.is_unreachable(&self.waiting[at].request, now) {
                 let pending = self.waiting.remove(at);
-                actions.push(Action::Reject(pending.waiter, unreachable()));
+                actions.push(Action::Reject(pending.waiter, unreachable_rejection()));
             } else {
                 at += 1;
             }
@@ -369,8 +369,8 @@
     }
 
     fn is_lagging(&self, now: Time) -> bool {
-        let (age, asked) = self.accepted_age;
-        if self.primary.is_none() || now.since(asked) > ACCEPTED_AGE_KEPT {
+        let (age, requested_at) = self.accepted_age;
+        if self.primary.is_none() || now.since(requested_at) > ACCEPTED_AGE_KEPT {
             return false;
         }
         let Some(point) = self.proofs.end_before(age, now) else {
@@ -389,8 +389,8 @@
         let Kind::Read(Guarantee::Bounded(age) | Guarantee::OwnWrites(age)) = *kind else {
             return;
         };
-        let (known, asked) = self.accepted_age;
-        if age >= known || now.since(asked) > ACCEPTED_AGE_KEPT {
+        let (known, requested_at) = self.accepted_age;
+        if age >= known || now.since(requested_at) > ACCEPTED_AGE_KEPT {
             self.accepted_age = (age, now);
         }
     }
@@ -464,7 +464,7 @@
     }
 }
 
-fn unreachable() -> Rejection {
+fn unreachable_rejection() -> Rejection {
     Rejection {
         reason: Reason::Unreachable,
         retry_after: MIN_RETRY,
--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/queue.rs
@@ -78,8 +78,8 @@
 const BIAS_RANGE: std::ops::RangeInclusive<f64> = 0.25..=16.0;
 
 /// Shorter forecasts are not used for the bias. In a burst after a calm period, a wait of 10 ms
-/// against a forecast of 3 ms would make the burst appear three times as long as it is, and 1.2
-/// % of it would be rejected needlessly.
+/// against a forecast of 3 ms would make the burst appear three times as long as it is, and
+/// 1.2 % of it would be rejected needlessly.
 const MIN_FORECAST: Span = Span::from_millis(10);
 
 /// Requests of one caller, class and length, first come, first served.
--- a/crates/policy/src/slots.rs
+++ b/crates/policy/src/slots.rs
@@ -1,4 +1,4 @@
-//! Limits the work in flight at one backend server, from one proxy.
+//! Limits the work that one proxy has in flight at one backend server.
 //!
 //! The server executes a few statements at once, in its slots. Further statements wait inside
 //! the server, where the proxy can neither order nor reject them. The limit is therefore this
--- a/crates/policy/tests/pool.rs
+++ b/crates/policy/tests/pool.rs
@@ -276,14 +276,14 @@
         for action in actions {
             match action {
                 Action::Grant(waiter, grant) => {
-                    prop_assert!(self.waiting.remove(&waiter), "{waiter} was answered twice");
+                    prop_assert!(self.waiting.remove(&waiter), "{waiter} got two replies");
                     prop_assert!(!self.closed.contains(&grant.conn));
                     let twice = self.checked_out.iter().any(|(_, conn)| *conn == grant.conn);
                     prop_assert!(!twice, "connection {} was checked out twice", grant.conn);
                     self.checked_out.push((grant.instance, grant.conn));
                 }
                 Action::Reject(waiter, rejection) => {
-                    prop_assert!(self.waiting.remove(&waiter), "{waiter} was answered twice");
+                    prop_assert!(self.waiting.remove(&waiter), "{waiter} got two replies");
                     prop_assert!(rejection.retry_after > Span::default());
                 }
                 Action::Open(id) => self.opening.push(id),
@@ -362,8 +362,7 @@
     }
 }
 
-/// A pool whose primary's log grew by one write every 100 ms until `end`, and that has one read
-/// accepting an age of 1,500 ms.
+/// A pool whose primary's log grew by one write every 100 ms, with one read of age 1,500 ms.
 fn pool_with_history(end: u64) -> Pool<u32, u32> {
     let mut pool = pool(34, 6);
     for n in 0..=end / 100 {
