--- a/crates/policy/src/pool/checkouts.rs
+++ b/crates/policy/src/pool/checkouts.rs
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Handles a restart of the instance: no connection can be older than that.
+    /// Handles a restart of the instance: no connection counts as opened before it.
     pub(super) fn reset_ages(&mut self, now: Time) {
         self.0.fill(now);
     }
--- a/crates/policy/tests/pool.rs
+++ b/crates/policy/tests/pool.rs
@@ -362,7 +362,7 @@
     }
 }
 
-/// A pool whose primary's log grew by one write every 100 ms, with one read of age 1,500 ms.
+/// A pool whose primary's log grew by a write per 100 ms until `end`, with a read of age 1,500 ms.
 fn pool_with_history(end: u64) -> Pool<u32, u32> {
     let mut pool = pool(34, 6);
     for n in 0..=end / 100 {
--- a/crates/policy/tests/pool_age.rs
+++ b/crates/policy/tests/pool_age.rs
@@ -108,7 +108,7 @@
     assert_eq!(pool.oldest_per_replica().collect::<Vec<_>>(), [at(5)]);
 }
 
-/// The same, if the break is not known yet because the instance has restarted.
+/// The same, if the break is not known yet: the instance has restarted.
 #[test]
 fn a_restart_resets_the_age_of_checked_out_connections() {
     let mut pool = pool(&[3, 5]);
--- a/crates/policy/tests/queue.rs
+++ b/crates/policy/tests/queue.rs
@@ -50,7 +50,7 @@
         }
     }
 
-    fn enter(&mut self, request: Request, ms: u64) -> (Key, Vec<Action>) {
+    fn submit(&mut self, request: Request, ms: u64) -> (Key, Vec<Action>) {
         let now = Time::from_millis(ms);
         self.admission.submit(request, now, &mut self.rng)
     }
@@ -68,11 +68,11 @@
 #[test]
 fn payment_precedes_listings() {
     let mut b = Bench::new(ONE_SLOT);
-    let (first, _) = b.enter(request("a", 1, 10_000), 0);
+    let (first, _) = b.submit(request("a", 1, 10_000), 0);
     for n in 0..50 {
-        b.enter(request(if n % 2 == 0 { "a" } else { "b" }, 1, 10_000), 0);
+        b.submit(request(if n % 2 == 0 { "a" } else { "b" }, 1, 10_000), 0);
     }
-    let (payment, _) = b.enter(request("a", 8, 10_000), 0);
+    let (payment, _) = b.submit(request("a", 8, 10_000), 0);
     assert_eq!(b.next(first, 5), Some(payment));
 }
 
@@ -81,11 +81,11 @@
 #[test]
 fn callers_take_turns() {
     let mut b = Bench::new(ONE_SLOT);
-    let (first, _) = b.enter(request("flood", 1, 10_000), 0);
+    let (first, _) = b.submit(request("flood", 1, 10_000), 0);
     for _ in 0..50 {
-        b.enter(request("flood", 1, 10_000), 0);
+        b.submit(request("flood", 1, 10_000), 0);
     }
-    let (quiet, _) = b.enter(request("quiet", 1, 10_000), 0);
+    let (quiet, _) = b.submit(request("quiet", 1, 10_000), 0);
     let second = b.next(first, 5).unwrap();
     let third = b.next(second, 10).unwrap();
     assert!(second == quiet || third == quiet);
@@ -96,12 +96,12 @@
 #[test]
 fn no_class_starves() {
     let mut b = Bench::new(ONE_SLOT);
-    let (mut running, _) = b.enter(request("a", 8, 100_000), 0);
+    let (mut running, _) = b.submit(request("a", 8, 100_000), 0);
     for _ in 0..45 {
-        b.enter(request("a", 8, 100_000), 0);
-        b.enter(request("b", 8, 100_000), 0);
+        b.submit(request("a", 8, 100_000), 0);
+        b.submit(request("b", 8, 100_000), 0);
     }
-    let (listing, _) = b.enter(request("a", 1, 100_000), 0);
+    let (listing, _) = b.submit(request("a", 1, 100_000), 0);
     let mut turns = 0;
     while running != listing {
         turns += 1;
@@ -116,9 +116,9 @@
 fn requests_with_too_long_a_wait_are_rejected_on_arrival() {
     let mut b = Bench::new(ONE_SLOT);
     for _ in 0..100 {
-        b.enter(request("a", 1, 10_000), 0);
+        b.submit(request("a", 1, 10_000), 0);
     }
-    let (key, actions) = b.enter(request("a", 1, 100), 0);
+    let (key, actions) = b.submit(request("a", 1, 100), 0);
     let [Action::Reject(rejected, why)] = actions.as_slice() else {
         panic!("admitted: {actions:?}");
     };
@@ -131,8 +131,8 @@
 #[test]
 fn late_requests_are_rejected_early() {
     let mut b = Bench::new(ONE_SLOT);
-    b.enter(request("a", 1, 10_000), 0);
-    let (late, _) = b.enter(request("b", 1, 100), 0);
+    b.submit(request("a", 1, 10_000), 0);
+    let (late, _) = b.submit(request("b", 1, 100), 0);
     let at = b.admission.next_tick(Time::default()).unwrap();
     assert!(at < Time::from_millis(100));
     let actions = b.admission.tick(at, &mut b.rng);
@@ -148,11 +148,11 @@
 fn full_queue_evicts_the_largest_backlog(caller: &str, admitted: bool) {
     let mut b = Bench::new(ONE_SLOT);
     for _ in 0..=ONE_SLOT.queue {
-        b.enter(request("flood", 1, 100_000), 0);
+        b.submit(request("flood", 1, 100_000), 0);
     }
-    let (key, actions) = b.enter(request(caller, 1, 100_000), 0);
+    let (key, actions) = b.submit(request(caller, 1, 100_000), 0);
     let [Action::Reject(out, why)] = actions[..] else {
-        panic!("nothing refused");
+        panic!("nothing rejected");
     };
     assert_eq!((why.reason, out != key), (Reason::Full, admitted));
     assert_eq!(b.admission.queued(), ONE_SLOT.queue as usize);
