--- a/crates/policy/tests/queue.rs
+++ b/crates/policy/tests/queue.rs
@@ -1,8 +1,8 @@
-//! Order, fairness and refusals of the queue in front of one backend server.
+//! Order, fairness and rejections of the queue of one backend server.
 
 use model::unit::{Span, Time};
-use policy::admission::{Action, Admission, End, Limits, Reason};
-use policy::queue::{Key, Ticket};
+use policy::admission::{Action, Admission, Completion, Limits, Reason};
+use policy::queue::{Key, Request};
 use policy::{service_time, slots};
 use rand::SeedableRng as _;
 use rand::rngs::SmallRng;
@@ -11,15 +11,15 @@
 const ONE_SLOT: Limits = Limits {
     share: slots::Share {
         slots: 1,
-        shared: 1,
-        held: 1,
+        total_connections: 1,
+        connections: 1,
         round_trip: Span::from_millis(0),
     },
     queue: 100,
 };
 
-fn ticket(caller: &str, class_weight: u32, deadline: u64) -> Ticket {
-    Ticket {
+fn request(caller: &str, class_weight: u32, deadline: u64) -> Request {
+    Request {
         caller: caller.parse().unwrap(),
         weight: 1,
         class: format!("class-{class_weight}").parse().unwrap(),
@@ -32,7 +32,7 @@
 fn started(actions: &[Action]) -> Vec<Key> {
     let key = |a: &Action| match a {
         Action::Start(key) => Some(*key),
-        Action::Refuse(..) => None,
+        Action::Reject(..) => None,
     };
     actions.iter().filter_map(key).collect()
 }
@@ -50,59 +50,58 @@
         }
     }
 
-    fn enter(&mut self, ticket: Ticket, ms: u64) -> (Key, Vec<Action>) {
+    fn submit(&mut self, request: Request, ms: u64) -> (Key, Vec<Action>) {
         let now = Time::from_millis(ms);
-        self.admission.enter(ticket, now, &mut self.rng)
+        self.admission.submit(request, now, &mut self.rng)
     }
 
-    /// Ends `key` and returns the one that starts in its place.
+    /// Ends `key` and returns the one that starts instead.
     fn next(&mut self, key: Key, ms: u64) -> Option<Key> {
         let now = Time::from_millis(ms);
-        let actions = self.admission.finished(key, End::Answered, now);
+        let actions = self.admission.finished(key, Completion::Responded, now);
         started(&actions).first().copied()
     }
 }
 
-// A tenant's payment arrives behind fifty listings of its own and of others.
-// It is the next to start, because its class is urgent and its caller near its share.
+// A tenant's payment arrives behind fifty listings of its own and of others. It is the next to
+// start, because its class is urgent and its caller near its share.
 #[test]
-fn payment_passes_listings() {
+fn payment_precedes_listings() {
     let mut b = Bench::new(ONE_SLOT);
-    let (first, _) = b.enter(ticket("a", 1, 10_000), 0);
+    let (first, _) = b.submit(request("a", 1, 10_000), 0);
     for n in 0..50 {
-        b.enter(ticket(if n % 2 == 0 { "a" } else { "b" }, 1, 10_000), 0);
+        b.submit(request(if n % 2 == 0 { "a" } else { "b" }, 1, 10_000), 0);
     }
-    let (payment, _) = b.enter(ticket("a", 8, 10_000), 0);
+    let (payment, _) = b.submit(request("a", 8, 10_000), 0);
     assert_eq!(b.next(first, 5), Some(payment));
 }
 
-// One caller floods the queue, then another asks once. The second does not wait
-// behind the flood, because callers take turns.
+// One caller floods the queue, then another sends one request. It does not wait behind the
+// flood, because callers are served in turn.
 #[test]
 fn callers_take_turns() {
     let mut b = Bench::new(ONE_SLOT);
-    let (first, _) = b.enter(ticket("flood", 1, 10_000), 0);
+    let (first, _) = b.submit(request("flood", 1, 10_000), 0);
     for _ in 0..50 {
-        b.enter(ticket("flood", 1, 10_000), 0);
+        b.submit(request("flood", 1, 10_000), 0);
     }
-    let (quiet, _) = b.enter(ticket("quiet", 1, 10_000), 0);
+    let (quiet, _) = b.submit(request("quiet", 1, 10_000), 0);
     let second = b.next(first, 5).unwrap();
     let third = b.next(second, 10).unwrap();
     assert!(second == quiet || third == quiet);
 }
 
-// Two callers send nothing but payments, far above their shares, and one has a
-// listing waiting as well. The listing runs, after at most as many payments as
-// the weights allow.
+// Two callers send only payments, far above their shares, and one also has a listing waiting.
+// The listing runs, after at most as many payments as the weights allow.
 #[test]
 fn no_class_starves() {
     let mut b = Bench::new(ONE_SLOT);
-    let (mut running, _) = b.enter(ticket("a", 8, 100_000), 0);
+    let (mut running, _) = b.submit(request("a", 8, 100_000), 0);
     for _ in 0..45 {
-        b.enter(ticket("a", 8, 100_000), 0);
-        b.enter(ticket("b", 8, 100_000), 0);
+        b.submit(request("a", 8, 100_000), 0);
+        b.submit(request("b", 8, 100_000), 0);
     }
-    let (listing, _) = b.enter(ticket("a", 1, 100_000), 0);
+    let (listing, _) = b.submit(request("a", 1, 100_000), 0);
     let mut turns = 0;
     while running != listing {
         turns += 1;
@@ -111,49 +110,49 @@
     assert!(turns <= 2 * 10, "the listing ran after {turns} requests");
 }
 
-// The backlog is 500 ms long and a caller waits 100 ms at most. It is refused on
-// arrival, and told to come back when the backlog will have gone.
+// The backlog is 500 ms long, and a caller waits 100 ms at most. It is rejected on arrival,
+// with the time until the backlog is served as a retry hint.
 #[test]
-fn refuses_at_the_door() {
+fn requests_with_too_long_a_wait_are_rejected_on_arrival() {
     let mut b = Bench::new(ONE_SLOT);
     for _ in 0..100 {
-        b.enter(ticket("a", 1, 10_000), 0);
+        b.submit(request("a", 1, 10_000), 0);
     }
-    let (key, actions) = b.enter(ticket("a", 1, 100), 0);
-    let [Action::Refuse(refused, why)] = actions.as_slice() else {
+    let (key, actions) = b.submit(request("a", 1, 100), 0);
+    let [Action::Reject(rejected, why)] = actions.as_slice() else {
         panic!("admitted: {actions:?}");
     };
-    assert_eq!((*refused, why.reason), (key, Reason::Backlog));
+    assert_eq!((*rejected, why.reason), (key, Reason::Backlog));
     assert!(why.retry_after >= Span::from_millis(300), "{why}");
 }
 
-// A statement holds the only slot for a second. The request behind it is given
-// up at the moment at which it could not finish any more, not at its deadline.
+// A statement occupies the only slot for a second. The request behind it is rejected as soon as
+// it can no longer finish in time, not at its deadline.
 #[test]
-fn gives_up_at_once() {
+fn late_requests_are_rejected_early() {
     let mut b = Bench::new(ONE_SLOT);
-    b.enter(ticket("a", 1, 10_000), 0);
-    let (late, _) = b.enter(ticket("b", 1, 100), 0);
+    b.submit(request("a", 1, 10_000), 0);
+    let (late, _) = b.submit(request("b", 1, 100), 0);
     let at = b.admission.next_tick(Time::default()).unwrap();
     assert!(at < Time::from_millis(100));
     let actions = b.admission.tick(at, &mut b.rng);
-    assert!(matches!(actions[..], [Action::Refuse(key, why)]
+    assert!(matches!(actions[..], [Action::Reject(key, why)]
         if key == late && why.reason == Reason::Expired));
     assert_eq!(b.admission.queued(), 0);
 }
 
-// The queue is full of one caller's requests when another caller arrives. The
-// newest of the flood is refused in its place; the flood itself gets no more room.
+// The queue is full of one caller's requests when another caller arrives. The newest request of
+// the flood is evicted for it; the flooding caller itself gets no more space.
 #[test_case("quiet", true; "another caller")]
 #[test_case("flood", false; "the flooding caller")]
-fn full_queue(caller: &str, admitted: bool) {
+fn full_queue_evicts_the_largest_backlog(caller: &str, admitted: bool) {
     let mut b = Bench::new(ONE_SLOT);
     for _ in 0..=ONE_SLOT.queue {
-        b.enter(ticket("flood", 1, 100_000), 0);
+        b.submit(request("flood", 1, 100_000), 0);
     }
-    let (key, actions) = b.enter(ticket(caller, 1, 100_000), 0);
-    let [Action::Refuse(out, why)] = actions[..] else {
-        panic!("nothing refused");
+    let (key, actions) = b.submit(request(caller, 1, 100_000), 0);
+    let [Action::Reject(out, why)] = actions[..] else {
+        panic!("nothing rejected");
     };
     assert_eq!((why.reason, out != key), (Reason::Full, admitted));
     assert_eq!(b.admission.queued(), ONE_SLOT.queue as usize);
