--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -28,13 +28,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Reason {
     /// The expected wait exceeds the deadline.
-    #[error("the expected wait exceeds the deadline")]
+    #[error("the expected wait outlives the deadline")]
     Backlog,
     /// The queue is full, and this caller has the largest part of it.
     #[error("the queue is full")]
     Full,
     /// It can no longer finish within its deadline.
-    #[error("the deadline would pass before a response")]
+    #[error("the deadline would pass before an answer")]
     Expired,
 }
 
--- a/crates/policy/src/pool/request.rs
+++ b/crates/policy/src/pool/request.rs
@@ -71,7 +71,7 @@
     #[error("no instance can serve it")]
     NoInstance,
     /// Instances that could serve it are unreachable from this proxy.
-    #[error("no instance that can serve it is reachable")]
+    #[error("no instance that can serve it is in reach")]
     #[serde(rename = "OutOfReach")]
     Unreachable,
 }
--- a/crates/policy/src/route.rs
+++ b/crates/policy/src/route.rs
@@ -44,25 +44,25 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RouteError {
     /// The group currently has no primary.
-    #[error("the group currently has no primary")]
+    #[error("the group has no primary at present")]
     NoPrimary {
         /// Time after which a retry may succeed.
         retry: Span,
     },
     /// Most instances of the group are unreachable, so that no write can be confirmed.
-    #[error("most instances of the group are unreachable")]
+    #[error("most instances of the group are out of reach")]
     NoMajority {
         /// Time after which a retry may succeed.
         retry: Span,
     },
     /// Too many requests already wait for a route to the group.
-    #[error("too many requests wait for a route to the group")]
+    #[error("too many requests wait for the group's next primary")]
     QueueFull {
         /// Time after which a retry may succeed.
         retry: Span,
     },
     /// No reachable instance is fresh enough for the read.
-    #[error("no reachable instance is fresh enough for the read")]
+    #[error("no instance in reach is fresh enough for the read")]
     NotFresh {
         /// Time after which a retry may succeed.
         retry: Span,
@@ -101,7 +101,7 @@
     #[error("the primary was replaced before a majority held the write")]
     Replaced,
     /// The backend server reported a point of another term than the one routed to.
-    #[error("the write ran under another term than the one it was routed to")]
+    #[error("the write is not of the term that it was routed to")]
     OtherTerm,
     /// The proxy is shutting down.
     #[error("the proxy is shutting down")]
@@ -118,12 +118,12 @@
     #[error("the connection broke")]
     Broken,
     /// No response arrived in time.
-    #[error("no response in time")]
+    #[error("no answer in time")]
     Timeout,
     /// It rejected the write because it is not the primary or is fenced (SQLSTATE 25006).
     #[error("the server does not accept writes")]
     ReadOnly,
     /// It sent an unexpected response.
-    #[error("unexpected response")]
+    #[error("unexpected answer")]
     Protocol,
 }
