--- a/crates/front/src/feed.rs
+++ b/crates/front/src/feed.rs
@@ -87,7 +87,7 @@
 impl Feed {
     /// Takes news over.
     pub fn take(&self, news: &Update) {
-        self.mirror.borrow_mut().take(news);
+        self.mirror.borrow_mut().apply(news);
         self.wake();
     }
 
@@ -133,7 +133,7 @@
                 Touch::Starting if over => return None,
                 Touch::Starting => {}
                 Touch::Reads => {
-                    let news = self.mirror.borrow().since(after);
+                    let news = self.mirror.borrow().changes_since(after);
                     let nothing =
                         matches!(&news, Update::Changes(batch) if batch.changes.is_empty());
                     if over || !nothing {
--- a/crates/peer/src/auth.rs
+++ b/crates/peer/src/auth.rs
@@ -82,7 +82,7 @@
         Self(HmacSha256::new_from_slice(secret).expect("HMAC takes a key of any length"))
     }
 
-    fn request(&self, envelope: &Envelope<'_>, body: &[u8]) -> HmacSha256 {
+    fn request_mac(&self, envelope: &Envelope<'_>, body: &[u8]) -> HmacSha256 {
         let mut mac = self.0.clone();
         mac.update(b"peer-request");
         for field in [envelope.method, envelope.path, envelope.trace] {
@@ -94,7 +94,7 @@
         mac
     }
 
-    fn answer(&self, nonce: Nonce, status: u16, body: &[u8]) -> HmacSha256 {
+    fn response_mac(&self, nonce: Nonce, status: u16, body: &[u8]) -> HmacSha256 {
         let mut mac = self.0.clone();
         mac.update(b"peer-answer");
         mac.update(&nonce.0);
@@ -105,7 +105,10 @@
 
     /// The proof of a request.
     pub fn sign_request(&self, envelope: &Envelope<'_>, body: &[u8]) -> [u8; TAG_LEN] {
-        self.request(envelope, body).finalize().into_bytes().into()
+        self.request_mac(envelope, body)
+            .finalize()
+            .into_bytes()
+            .into()
     }
 
     /// Checks a request's proof, in constant time.
@@ -115,25 +118,25 @@
         body: &[u8],
         tag: &[u8],
     ) -> Result<(), AuthError> {
-        let mac = self.request(envelope, body);
+        let mac = self.request_mac(envelope, body);
         mac.verify_slice(tag).map_err(|_| AuthError::Mismatch)
     }
 
     /// The proof of the answer to the request with this nonce.
-    pub fn sign_answer(&self, nonce: Nonce, status: u16, body: &[u8]) -> [u8; TAG_LEN] {
-        let mac = self.answer(nonce, status, body);
+    pub fn sign_response(&self, nonce: Nonce, status: u16, body: &[u8]) -> [u8; TAG_LEN] {
+        let mac = self.response_mac(nonce, status, body);
         mac.finalize().into_bytes().into()
     }
 
     /// Checks an answer's proof, in constant time.
-    pub fn verify_answer(
+    pub fn verify_response(
         &self,
         nonce: Nonce,
         status: u16,
         body: &[u8],
         tag: &[u8],
     ) -> Result<(), AuthError> {
-        let mac = self.answer(nonce, status, body);
+        let mac = self.response_mac(nonce, status, body);
         mac.verify_slice(tag).map_err(|_| AuthError::Mismatch)
     }
 }
@@ -151,35 +154,35 @@
 pub struct ReplayWindow {
     seen: HashSet<[u8; NONCE_LEN]>,
     /// Nonces with the time when they may be forgotten, soonest first.
-    order: BinaryHeap<Reverse<(u64, [u8; NONCE_LEN])>>,
+    expiries: BinaryHeap<Reverse<(u64, [u8; NONCE_LEN])>>,
 }
 
 impl ReplayWindow {
     /// Admits a request whose proof has been checked, once.
     pub fn admit(&mut self, now_ms: u64, envelope: &Envelope<'_>) -> Result<(), AuthError> {
-        let off = now_ms.abs_diff(envelope.time_ms);
-        if off > WINDOW_MS {
-            return Err(AuthError::Clock(off));
+        let skew = now_ms.abs_diff(envelope.time_ms);
+        if skew > WINDOW_MS {
+            return Err(AuthError::Clock(skew));
         }
-        self.forget(now_ms);
+        self.expire(now_ms);
         if self.seen.len() >= MAX_NONCES {
             return Err(AuthError::Overload);
         }
         if !self.seen.insert(envelope.nonce.0) {
             return Err(AuthError::Replayed);
         }
-        let until = envelope.time_ms.saturating_add(WINDOW_MS);
-        self.order.push(Reverse((until, envelope.nonce.0)));
+        let expires_ms = envelope.time_ms.saturating_add(WINDOW_MS);
+        self.expiries.push(Reverse((expires_ms, envelope.nonce.0)));
         Ok(())
     }
 
-    fn forget(&mut self, now_ms: u64) {
-        while let Some(Reverse((until, nonce))) = self.order.peek() {
-            if *until >= now_ms {
+    fn expire(&mut self, now_ms: u64) {
+        while let Some(Reverse((expires_ms, nonce))) = self.expiries.peek() {
+            if *expires_ms >= now_ms {
                 break;
             }
             self.seen.remove(nonce);
-            self.order.pop();
+            self.expiries.pop();
         }
     }
 }
--- a/crates/peer/src/client.rs
+++ b/crates/peer/src/client.rs
@@ -15,7 +15,7 @@
 use crate::server;
 
 /// Header with sender's clock, nonce and proof, separated by dots.
-pub const PROOF: &str = "x-pomelo-proof";
+pub const SIGNATURE: &str = "x-pomelo-proof";
 
 /// Why a peer gave no usable answer.
 #[derive(Debug, thiserror::Error)]
@@ -31,7 +31,7 @@
     Timeout(Duration),
     /// The peer does not accept our proof.
     #[error("the peer refused our proof")]
-    Refused,
+    Rejected,
     /// Another status than 200.
     #[error("the peer answered HTTP status {0}")]
     Status(u16),
@@ -85,7 +85,7 @@
         let body = codec::encode(req)?;
         let exchange = self.exchange(peer, path, body, cx);
         match compio::time::timeout(limit, exchange).await {
-            Ok(answer) => Ok(codec::decode(&answer?)?),
+            Ok(response) => Ok(codec::decode(&response?)?),
             Err(_) => {
                 // A silent connection would silence every later request that the pool
                 // puts on it; a new client has an empty pool.
@@ -110,13 +110,13 @@
             nonce: Nonce(rand::random::<[u8; NONCE_LEN]>()),
             trace: &trace,
         };
-        let proof = self.proof(&envelope, &body);
+        let signature = self.signature(&envelope, &body);
         self.inner
             .traffic
-            .add_sent(body.len() + path.len() + proof.len() + trace.len());
+            .add_sent(body.len() + path.len() + signature.len() + trace.len());
         let http = self.inner.http.borrow().clone();
         let request = http.post(format!("http://{peer}{path}"));
-        let request = request.and_then(|r| r.header(PROOF, proof));
+        let request = request.and_then(|r| r.header(SIGNATURE, signature));
         let mut request = request.map_err(Error::Connection)?;
         if !trace.is_empty() {
             let traced = request.header(trace::HEADER, &trace);
@@ -126,7 +126,7 @@
         self.read(envelope.nonce, response).await
     }
 
-    fn proof(&self, envelope: &Envelope<'_>, body: &[u8]) -> String {
+    fn signature(&self, envelope: &Envelope<'_>, body: &[u8]) -> String {
         let tag = self.inner.key.sign_request(envelope, body);
         let nonce = STANDARD_NO_PAD.encode(envelope.nonce.0);
         let tag = STANDARD_NO_PAD.encode(tag);
@@ -136,14 +136,17 @@
     async fn read(&self, nonce: Nonce, response: cyper::Response) -> Result<Vec<u8>, Error> {
         let status = response.status().as_u16();
         if status == http::StatusCode::UNAUTHORIZED.as_u16() {
-            return Err(Error::Refused);
+            return Err(Error::Rejected);
         }
-        let tag = response.headers().get(PROOF).and_then(|v| v.to_str().ok());
+        let tag = response
+            .headers()
+            .get(SIGNATURE)
+            .and_then(|v| v.to_str().ok());
         let tag = tag.and_then(|tag| STANDARD_NO_PAD.decode(tag).ok());
         let body = response.bytes().await.map_err(Error::Connection)?;
         self.inner.traffic.add_received(body.len());
         let tag = tag.ok_or(AuthError::Missing)?;
-        self.inner.key.verify_answer(nonce, status, &body, &tag)?;
+        self.inner.key.verify_response(nonce, status, &body, &tag)?;
         match status {
             200 => Ok(body.to_vec()),
             status => Err(Error::Status(status)),
--- a/crates/peer/src/server.rs
+++ b/crates/peer/src/server.rs
@@ -19,12 +19,12 @@
 use model::trace;
 
 use crate::auth::{AuthError, Envelope, Key, Nonce, ReplayWindow};
-use crate::client::PROOF;
+use crate::client::SIGNATURE;
 use crate::codec;
 
 /// Requests that may wait for the task that answers them; more are refused, since a
 /// peer gives up on a late answer anyway.
-pub const QUEUE: usize = 256;
+pub const QUEUE_CAPACITY: usize = 256;
 
 /// A request for the task that owns the answer. Dropping it answers *unavailable*.
 #[derive(Debug)]
@@ -71,11 +71,11 @@
 /// The paths that peers may call.
 #[derive(Clone)]
 pub struct Routes {
-    guard: Arc<Guard>,
+    auth: Arc<Authenticator>,
     router: Router,
 }
 
-struct Guard {
+struct Authenticator {
     key: Key,
     replays: Mutex<ReplayWindow>,
     traffic: Traffic,
@@ -84,13 +84,13 @@
 impl Routes {
     /// No paths yet; requests are checked against `key`.
     pub fn new(key: Key, traffic: Traffic) -> Self {
-        let guard = Guard {
+        let auth = Authenticator {
             key,
             replays: Mutex::default(),
             traffic,
         };
         Self {
-            guard: Arc::new(guard),
+            auth: Arc::new(auth),
             router: Router::new(),
         }
     }
@@ -102,8 +102,8 @@
         Req: serde::de::DeserializeOwned + Send + 'static,
         Res: serde::Serialize + Send + 'static,
     {
-        let guard = self.guard.clone();
-        let handler = move |req: Request| answer(guard.clone(), tx.clone(), req);
+        let auth = self.auth.clone();
+        let handler = move |req: Request| handle(auth.clone(), tx.clone(), req);
         self.router = self.router.route(path, routing::post(handler));
         self
     }
@@ -114,8 +114,8 @@
     }
 }
 
-async fn answer<Req, Res>(
-    guard: Arc<Guard>,
+async fn handle<Req, Res>(
+    auth: Arc<Authenticator>,
     tx: flume::Sender<Call<Req, Res>>,
     req: Request,
 ) -> Response
@@ -125,23 +125,23 @@
 {
     let (parts, body) = req.into_parts();
     let Ok(body) = axum::body::to_bytes(body, codec::MAX_BODY).await else {
-        return refusal();
+        return unauthorized();
     };
-    let (nonce, cx) = match guard.check(&parts, &body) {
+    let (nonce, cx) = match auth.check(&parts, &body) {
         Ok(checked) => checked,
         Err(e) => {
             tracing::warn!(path = parts.uri.path(), cause = %e, "peer refused");
-            return refusal();
+            return unauthorized();
         }
     };
-    let (status, body) = match perform(&tx, &body, cx).await {
+    let (status, body) = match dispatch(&tx, &body, cx).await {
         Ok(body) => (StatusCode::OK, body),
         Err(status) => (status, Vec::new()),
     };
-    guard.respond(nonce, status, body)
+    auth.respond(nonce, status, body)
 }
 
-async fn perform<Req, Res>(
+async fn dispatch<Req, Res>(
     tx: &flume::Sender<Call<Req, Res>>,
     body: &[u8],
     trace: Option<trace::Context>,
@@ -151,29 +151,29 @@
     Res: serde::Serialize,
 {
     let req = codec::decode(body).map_err(|_| StatusCode::BAD_REQUEST)?;
-    let (reply, answer) = flume::bounded(1);
+    let (reply, response) = flume::bounded(1);
     let call = Call { req, trace, reply };
     let unavailable = StatusCode::SERVICE_UNAVAILABLE;
     tx.try_send(call).map_err(|_| unavailable)?;
-    let answer = answer.recv_async().await.map_err(|_| unavailable)?;
-    codec::encode(&answer).map_err(|_| StatusCode::INTERNAL_SERVER_ERROR)
+    let response = response.recv_async().await.map_err(|_| unavailable)?;
+    codec::encode(&response).map_err(|_| StatusCode::INTERNAL_SERVER_ERROR)
 }
 
 /// A peer without the secret learns nothing, not even why.
-fn refusal() -> Response {
+fn unauthorized() -> Response {
     let mut response = Response::new(Body::empty());
     *response.status_mut() = StatusCode::UNAUTHORIZED;
     response
 }
 
-impl Guard {
+impl Authenticator {
     fn check(
         &self,
         parts: &http::request::Parts,
         body: &Bytes,
     ) -> Result<(Nonce, Option<trace::Context>), AuthError> {
         let header = |name| parts.headers.get(name).and_then(|v| v.to_str().ok());
-        let (time_ms, nonce, tag) = parse_proof(header(PROOF).ok_or(AuthError::Missing)?)?;
+        let (time_ms, nonce, tag) = parse_signature(header(SIGNATURE).ok_or(AuthError::Missing)?)?;
         let trace = header(trace::HEADER).unwrap_or_default();
         let envelope = Envelope {
             method: parts.method.as_str(),
@@ -191,19 +191,19 @@
     }
 
     fn respond(&self, nonce: Nonce, status: StatusCode, body: Vec<u8>) -> Response {
-        let tag = self.key.sign_answer(nonce, status.as_u16(), &body);
+        let tag = self.key.sign_response(nonce, status.as_u16(), &body);
         let tag = STANDARD_NO_PAD.encode(tag);
         self.traffic.add_sent(body.len() + tag.len());
         let response = Response::builder()
             .status(status)
             .header(http::header::CONTENT_TYPE, codec::CONTENT_TYPE)
-            .header(PROOF, tag)
+            .header(SIGNATURE, tag)
             .body(Body::from(body));
-        response.unwrap_or_else(|_| refusal())
+        response.unwrap_or_else(|_| unauthorized())
     }
 }
 
-fn parse_proof(text: &str) -> Result<(u64, Nonce, Vec<u8>), AuthError> {
+fn parse_signature(text: &str) -> Result<(u64, Nonce, Vec<u8>), AuthError> {
     let parts: Vec<_> = text.split('.').collect();
     let [time, nonce, tag] = parts.as_slice() else {
         return Err(AuthError::Missing);
--- a/crates/peer/tests/auth.rs
+++ b/crates/peer/tests/auth.rs
@@ -77,9 +77,9 @@
     assert_eq!(window.admit(NOW, &envelope(1)), Err(AuthError::Replayed));
     let late = NOW + WINDOW_MS;
     assert_eq!(window.admit(late, &envelope(1)), Err(AuthError::Replayed));
-    let off = WINDOW_MS + 1;
-    let result = window.admit(NOW + off, &envelope(1));
-    assert_eq!(result, Err(AuthError::Clock(off)));
+    let skew = WINDOW_MS + 1;
+    let result = window.admit(NOW + skew, &envelope(1));
+    assert_eq!(result, Err(AuthError::Clock(skew)));
 }
 
 #[test]
--- a/crates/peer/tests/exchange.rs
+++ b/crates/peer/tests/exchange.rs
@@ -25,7 +25,7 @@
 
 /// Serves one path and answers each request by its own text and trace.
 async fn serve(key: Key) -> SocketAddr {
-    let (tx, rx) = flume::bounded::<Call<Old, New>>(peer::server::QUEUE);
+    let (tx, rx) = flume::bounded::<Call<Old, New>>(peer::server::QUEUE_CAPACITY);
     let routes = Routes::new(key, Traffic::default()).route(PATH, tx);
     let listener = compio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
@@ -51,8 +51,8 @@
         text: "hello".into(),
         added: 7,
     };
-    let answer: Old = client.call(address, PATH, &req, LIMIT, None).await.unwrap();
-    assert_eq!(answer.text, "hello");
+    let response: Old = client.call(address, PATH, &req, LIMIT, None).await.unwrap();
+    assert_eq!(response.text, "hello");
 }
 
 #[compio::test]
@@ -62,9 +62,9 @@
     let client = Client::new(key).unwrap();
     let cx = Context::new(5, 6, true);
     let req = Old::default();
-    let answer = client.call(address, PATH, &req, LIMIT, Some(cx)).await;
-    let answer: New = answer.unwrap();
-    assert_eq!(answer.text, cx.to_string());
+    let response = client.call(address, PATH, &req, LIMIT, Some(cx)).await;
+    let response: New = response.unwrap();
+    assert_eq!(response.text, cx.to_string());
 }
 
 /// A process without the secret asks a proxy for its configuration, which holds the
@@ -74,8 +74,8 @@
     let address = serve(Key::new(b"fleet")).await;
     let client = Client::new(Key::new(b"guess")).unwrap();
     let req = Old::default();
-    let answer = client.call::<_, New>(address, PATH, &req, LIMIT, None);
-    assert!(matches!(answer.await, Err(Error::Refused)));
+    let result = client.call::<_, New>(address, PATH, &req, LIMIT, None);
+    assert!(matches!(result.await, Err(Error::Rejected)));
 
     let bare = cyper::Client::new().unwrap();
     let response = bare.post(format!("http://{address}{PATH}")).unwrap();
@@ -95,6 +95,6 @@
     compio::runtime::spawn(async move { cyper_axum::serve(listener, router).await }).detach();
     let client = Client::new(Key::new(b"fleet")).unwrap();
     let req = Old::default();
-    let answer = client.call::<_, New>(address, PATH, &req, LIMIT, None);
-    assert!(matches!(answer.await, Err(Error::Auth(_))));
+    let result = client.call::<_, New>(address, PATH, &req, LIMIT, None);
+    assert!(matches!(result.await, Err(Error::Auth(_))));
 }
--- a/crates/proxy/src/member.rs
+++ b/crates/proxy/src/member.rs
@@ -134,11 +134,11 @@
 pub fn spawn(setup: Setup) -> Result<Started, peer::client::Error> {
     let traffic = Traffic::default();
     let client = peer::Client::with_traffic(setup.key.clone(), traffic.clone())?;
-    let (beat_tx, beats) = flume::bounded(peer::server::QUEUE);
-    let (compare_tx, compares) = flume::bounded(peer::server::QUEUE);
-    let (fetch_tx, fetches) = flume::bounded(peer::server::QUEUE);
-    let (view_tx, views) = flume::bounded(peer::server::QUEUE);
-    let (own_tx, owns) = flume::bounded(peer::server::QUEUE);
+    let (beat_tx, beats) = flume::bounded(peer::server::QUEUE_CAPACITY);
+    let (compare_tx, compares) = flume::bounded(peer::server::QUEUE_CAPACITY);
+    let (fetch_tx, fetches) = flume::bounded(peer::server::QUEUE_CAPACITY);
+    let (view_tx, views) = flume::bounded(peer::server::QUEUE_CAPACITY);
+    let (own_tx, owns) = flume::bounded(peer::server::QUEUE_CAPACITY);
     let routes = Routes::new(setup.key.clone(), traffic.clone())
         .route(BEAT, beat_tx)
         .route(COMPARE, compare_tx)
--- a/crates/proxy/src/relay.rs
+++ b/crates/proxy/src/relay.rs
@@ -89,7 +89,7 @@
     let listener = TcpListener::bind(SocketAddr::new(setup.local, 0)).await?;
     let address = listener.local_addr()?;
     let (tx, rx) = flume::unbounded();
-    let (calls_tx, calls) = flume::bounded(peer::server::QUEUE);
+    let (calls_tx, calls) = flume::bounded(peer::server::QUEUE_CAPACITY);
     let handle = Handle {
         tx,
         calls: calls_tx,
--- a/crates/proxy/src/share.rs
+++ b/crates/proxy/src/share.rs
@@ -65,7 +65,7 @@
 /// keeps the limits that its pools were started with.
 pub fn spawn(setup: Setup) -> Handle {
     let (tx, rx) = flume::unbounded();
-    let (calls_tx, calls) = flume::bounded(peer::server::QUEUE);
+    let (calls_tx, calls) = flume::bounded(peer::server::QUEUE_CAPACITY);
     compio::runtime::spawn(task::run(setup, tx.downgrade(), rx, calls)).detach();
     Handle {
         tx,
--- a/crates/store/src/client.rs
+++ b/crates/store/src/client.rs
@@ -17,7 +17,7 @@
 
 /// Most bytes of one answer. A page of a listing has about a megabyte, and a watch tells
 /// everything that changed since a revision; more than this is no answer to keep.
-const MAX_ANSWER: usize = 16 << 20;
+const MAX_RESPONSE: usize = 16 << 20;
 
 /// A client of the platform's services, cheap to clone within its runtime.
 #[derive(Clone)]
@@ -48,7 +48,7 @@
     pub fn with_time_limit(endpoints: Vec<String>, time_limit: Duration) -> Result<Self, Error> {
         let endpoints = endpoints
             .into_iter()
-            .map(|e| e.trim_end_matches('/').to_owned())
+            .map(|url| url.trim_end_matches('/').to_owned())
             .collect();
         let inner = Inner {
             endpoints,
@@ -107,10 +107,10 @@
     {
         let body = serde_json::to_vec(body).map_err(Error::Decode)?;
         let mut last = Error::NoEndpoint;
-        for at in self.order() {
-            match self.post_to(at, kind, path, body.clone()).await {
+        for index in self.endpoint_order() {
+            match self.post_to(index, kind, path, body.clone()).await {
                 Ok(bytes) => {
-                    self.inner.preferred.set(at);
+                    self.inner.preferred.set(index);
                     return serde_json::from_slice(&bytes).map_err(Error::Decode);
                 }
                 // An endpoint that may have taken the request outweighs one that
@@ -122,19 +122,19 @@
         Err(last)
     }
 
-    fn order(&self) -> impl Iterator<Item = usize> + use<> {
+    fn endpoint_order(&self) -> impl Iterator<Item = usize> + use<> {
         let (first, n) = (self.inner.preferred.get(), self.inner.endpoints.len());
-        (0..n).map(move |at| (first + at) % n)
+        (0..n).map(move |index| (first + index) % n)
     }
 
     async fn post_to(
         &self,
-        at: usize,
+        index: usize,
         kind: Kind,
         path: &str,
         body: Vec<u8>,
     ) -> Result<Vec<u8>, Error> {
-        let response = self.open(at, kind, path, body);
+        let response = self.open(index, kind, path, body);
         let exchange = async { read_all(response.await?).await };
         self.within_limit(exchange).await
     }
@@ -164,17 +164,17 @@
             request.send().await.map_err(Error::from_http)
         };
         let mut response = self.within(limit, begin).await?;
-        let mut answer = http::Response::new(Vec::new());
-        *answer.status_mut() = response.status();
+        let mut collected = http::Response::new(Vec::new());
+        *collected.status_mut() = response.status();
         while let Some(chunk) = self.within_limit(next_chunk(&mut response)).await? {
-            let body = answer.body_mut();
-            if body.len() + chunk.len() > MAX_ANSWER {
+            let body = collected.body_mut();
+            if body.len() + chunk.len() > MAX_RESPONSE {
                 self.inner.calls.add_failure();
-                return Err(Error::TooLarge(MAX_ANSWER));
+                return Err(Error::TooLarge(MAX_RESPONSE));
             }
             body.extend_from_slice(&chunk);
         }
-        Ok(answer)
+        Ok(collected)
     }
 
     fn endpoint(&self) -> Result<&str, Error> {
@@ -203,8 +203,8 @@
     ) -> Result<cyper::Response, Error> {
         let body = serde_json::to_vec(body).map_err(Error::Decode)?;
         let mut last = Error::NoEndpoint;
-        for at in self.order() {
-            let opening = self.open(at, kind, path, body.clone());
+        for index in self.endpoint_order() {
+            let opening = self.open(index, kind, path, body.clone());
             match self.within_limit(opening).await {
                 Ok(response) => return Ok(response),
                 Err(e) => last = e,
@@ -215,13 +215,13 @@
 
     async fn open(
         &self,
-        at: usize,
+        index: usize,
         kind: Kind,
         path: &str,
         body: Vec<u8>,
     ) -> Result<cyper::Response, Error> {
         self.inner.calls.add(self.purpose, kind);
-        let url = format!("{}{path}", self.inner.endpoints[at]);
+        let url = format!("{}{path}", self.inner.endpoints[index]);
         let request = self.http().post(&url);
         let mut request = request.map_err(|_| Error::Address(url.clone()))?;
         if let Some(cx) = self.trace {
--- a/crates/store/src/config.rs
+++ b/crates/store/src/config.rs
@@ -23,7 +23,7 @@
 
 /// The configuration that the store holds.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Stored {
+pub struct StoredConfig {
     /// Revision that put it in force; 0 when the store holds none.
     pub revision: Revision,
     /// The configuration.
@@ -32,7 +32,7 @@
     parts: HashSet<String>,
 }
 
-impl Stored {
+impl StoredConfig {
     /// Whether this configuration refers to a part with this key.
     pub fn has_part(&self, key: &str) -> bool {
         self.parts.contains(key)
@@ -41,15 +41,15 @@
 
 impl Client {
     /// Reads the configuration.
-    pub async fn load_config(&self) -> Result<Stored, ConfigError> {
+    pub async fn load_config(&self) -> Result<StoredConfig, ConfigError> {
         let Some(head) = self.get(document::HEAD).await? else {
-            return Ok(Stored::default());
+            return Ok(StoredConfig::default());
         };
         self.load_parts(head).await
     }
 
     /// Completes a head by the parts that it names.
-    pub async fn load_parts(&self, head: Record) -> Result<Stored, ConfigError> {
+    pub async fn load_parts(&self, head: Record) -> Result<StoredConfig, ConfigError> {
         let mut parts = HashMap::new();
         if !document::references(&head.value, |_| None)?.is_empty() {
             let listing = self.list(document::PARTS).await?;
@@ -58,7 +58,7 @@
         let part = |key: &str| parts.get(key).map(Vec::as_slice);
         let fleet = document::decode(&head.value, part)?;
         let parts = document::references(&head.value, part)?;
-        Ok(Stored {
+        Ok(StoredConfig {
             revision: head.revision,
             fleet,
             parts: parts.into_iter().collect(),
@@ -74,7 +74,7 @@
     /// by their revision.
     pub async fn save_config(
         &self,
-        base: &Stored,
+        base: &StoredConfig,
         fleet: &Fleet,
         nonce: &str,
     ) -> Result<Outcome, ConfigError> {
--- a/crates/store/src/kv.rs
+++ b/crates/store/src/kv.rs
@@ -13,10 +13,10 @@
 use crate::wire;
 
 /// Tries of one compare-and-swap whose answers were lost.
-const TRIES: u32 = 3;
+const MAX_ATTEMPTS: u32 = 3;
 
 /// Wait before a lost answer is asked for again.
-const RETRY_AFTER: Duration = Duration::from_millis(50);
+const RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// Most writes of one transaction; the service accepts 128.
 const BATCH_WRITES: usize = 64;
@@ -106,7 +106,7 @@
         let (mut batch, mut bytes) = (Vec::new(), 0);
         for (key, value) in writes {
             bytes += value.len();
-            batch.push(put(&key, value));
+            batch.push(put_operation(&key, value));
             if batch.len() >= BATCH_WRITES || bytes >= BATCH_BYTES {
                 self.put_batch(std::mem::take(&mut batch)).await?;
                 bytes = 0;
@@ -125,12 +125,12 @@
             failure: Vec::new(),
         };
         let mut last = Error::NoEndpoint;
-        for at in 0..TRIES {
-            if at > 0 {
-                compio::time::sleep(RETRY_AFTER).await;
+        for attempt in 0..MAX_ATTEMPTS {
+            if attempt > 0 {
+                compio::time::sleep(RETRY_DELAY).await;
             }
-            let answer = self.post(Kind::Write, "/v3/kv/txn", &req).await;
-            match answer {
+            let response = self.post(Kind::Write, "/v3/kv/txn", &req).await;
+            match response {
                 Ok(wire::TxnResponse { .. }) => return Ok(()),
                 Err(e) => last = e,
             }
@@ -185,21 +185,21 @@
                 range_end: None,
             })],
         };
-        let mut perhaps_applied = false;
+        let mut may_be_applied = false;
         let mut last = Error::NoEndpoint;
-        for at in 0..TRIES {
-            if at > 0 {
-                compio::time::sleep(RETRY_AFTER).await;
+        for attempt in 0..MAX_ATTEMPTS {
+            if attempt > 0 {
+                compio::time::sleep(RETRY_DELAY).await;
             }
             match self.post(Kind::Write, "/v3/kv/txn", &req).await {
-                Ok(res) => return Ok(settle(res, &value)),
+                Ok(res) => return Ok(swap_outcome(res, &value)),
                 Err(e) => {
-                    perhaps_applied |= !e.had_no_effect();
+                    may_be_applied |= !e.had_no_effect();
                     last = e;
                 }
             }
         }
-        if perhaps_applied {
+        if may_be_applied {
             Ok(Outcome::Unknown)
         } else {
             Err(last)
@@ -207,7 +207,7 @@
     }
 }
 
-fn put(key: &str, value: Vec<u8>) -> wire::Operation {
+fn put_operation(key: &str, value: Vec<u8>) -> wire::Operation {
     wire::Operation::RequestPut(wire::PutRequest {
         key: wire::Blob(key.into()),
         value: wire::Blob(value),
@@ -215,14 +215,14 @@
     })
 }
 
-fn settle(res: wire::TxnResponse, ours: &[u8]) -> Outcome {
+fn swap_outcome(res: wire::TxnResponse, written: &[u8]) -> Outcome {
     if res.succeeded {
         return Outcome::Applied(Revision(res.header.revision.0));
     }
     let ranges = res.responses.into_iter().filter_map(|r| r.response_range);
     let current = ranges.flat_map(|r| r.kvs).map(record).next();
     match current {
-        Some(record) if record.value == ours => Outcome::Applied(record.revision),
+        Some(record) if record.value == written => Outcome::Applied(record.revision),
         current => Outcome::Conflict(current),
     }
 }
--- a/crates/store/src/mirror.rs
+++ b/crates/store/src/mirror.rs
@@ -11,7 +11,7 @@
 
 /// Most changes that are kept, and most bytes of their values. Who is further behind gets
 /// everything; a large configuration has half a megabyte.
-const HISTORY: (usize, usize) = (1_000, 2 << 20);
+const HISTORY_LIMIT: (usize, usize) = (1_000, 2 << 20);
 
 /// What one process tells another about the store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -40,7 +40,7 @@
     records: IndexMap<String, Record>,
     revision: Revision,
     history: VecDeque<Change>,
-    floor: Revision,
+    compacted: Revision,
     /// Bytes of the values in `history`.
     bytes: usize,
 }
@@ -52,10 +52,10 @@
     }
 
     /// Takes news over.
-    pub fn take(&mut self, news: &Update) {
-        match news {
+    pub fn apply(&mut self, update: &Update) {
+        match update {
             Update::Listing(listing) => self.replace(listing),
-            Update::Changes(batch) => self.apply(batch),
+            Update::Changes(batch) => self.apply_changes(batch),
         }
     }
 
@@ -63,12 +63,12 @@
         let records = listing.records.iter();
         self.records = records.map(|r| (r.key.clone(), r.clone())).collect();
         self.revision = listing.revision;
-        self.floor = listing.revision;
+        self.compacted = listing.revision;
         self.history.clear();
         self.bytes = 0;
     }
 
-    fn apply(&mut self, batch: &Batch) {
+    fn apply_changes(&mut self, batch: &Batch) {
         for change in &batch.changes {
             match change {
                 Change::Put(record) => {
@@ -82,18 +82,18 @@
             self.history.push_back(change.clone());
         }
         self.revision = self.revision.max(batch.revision);
-        while self.history.len() > HISTORY.0 || self.bytes > HISTORY.1 {
+        while self.history.len() > HISTORY_LIMIT.0 || self.bytes > HISTORY_LIMIT.1 {
             let Some(oldest) = self.history.pop_front() else {
                 break;
             };
             self.bytes -= size(&oldest);
-            self.floor = self.floor.max(revision(&oldest));
+            self.compacted = self.compacted.max(revision(&oldest));
         }
     }
 
     /// What somebody lacks who knows everything up to `after`.
-    pub fn since(&self, after: Revision) -> Update {
-        if after < self.floor {
+    pub fn changes_since(&self, after: Revision) -> Update {
+        if after < self.compacted {
             let records = self.records.values().cloned().collect();
             return Update::Listing(Listing {
                 records,
--- a/crates/store/src/watch.rs
+++ b/crates/store/src/watch.rs
@@ -60,16 +60,16 @@
     ///
     /// A watch whose connection was lost track of looks like one without changes. Its
     /// user must therefore open a new one, from the last revision, every few seconds.
-    pub async fn next(&mut self, patience: Duration) -> Result<Option<Batch>, Error> {
-        match compio::time::timeout(patience, self.message()).await {
+    pub async fn next(&mut self, timeout: Duration) -> Result<Option<Batch>, Error> {
+        match compio::time::timeout(timeout, self.next_message()).await {
             Ok(message) => message.map(Some),
             Err(_) => Ok(None),
         }
     }
 
-    async fn message(&mut self) -> Result<Batch, Error> {
+    async fn next_message(&mut self) -> Result<Batch, Error> {
         loop {
-            if let Some(result) = self.take()? {
+            if let Some(result) = self.take_message()? {
                 return batch(result);
             }
             let chunk = self.response.next().await.ok_or(Error::WatchEnded)?;
@@ -82,7 +82,7 @@
     }
 
     /// Takes the first whole message out of the buffer.
-    fn take(&mut self) -> Result<Option<wire::WatchResult>, Error> {
+    fn take_message(&mut self) -> Result<Option<wire::WatchResult>, Error> {
         let mut messages =
             serde_json::Deserializer::from_slice(&self.buf).into_iter::<wire::WatchMessage>();
         let result = match messages.next() {
--- a/crates/store/tests/client.rs
+++ b/crates/store/tests/client.rs
@@ -12,7 +12,7 @@
 
 const KEY: &str = "pomeloscale/config";
 const PREFIX: &str = "pomeloscale/";
-const PATIENCE: Duration = Duration::from_secs(5);
+const TIMEOUT: Duration = Duration::from_secs(5);
 
 fn client(fleet: &Fleet) -> Client {
     let urls = fleet.addresses().platform.values();
@@ -64,8 +64,8 @@
     let outcome = client.swap(KEY, Revision(0), b"x".to_vec()).await.unwrap();
     assert_eq!(outcome, Outcome::Unknown);
 
-    let nobody = Client::new(vec!["http://127.0.0.1:9".into()]).unwrap();
-    let outcome = nobody.swap(KEY, Revision(0), b"x".to_vec()).await;
+    let unreachable = Client::new(vec!["http://127.0.0.1:9".into()]).unwrap();
+    let outcome = unreachable.swap(KEY, Revision(0), b"x".to_vec()).await;
     assert!(outcome.expect_err("nobody listens").had_no_effect());
 }
 
@@ -78,7 +78,7 @@
     let mut watch = client.watch(PREFIX, first.next()).await.unwrap();
     let mut values = Vec::new();
     while values.len() < 2 {
-        if let Some(batch) = watch.next(PATIENCE).await.unwrap() {
+        if let Some(batch) = watch.next(TIMEOUT).await.unwrap() {
             for change in batch.changes {
                 let Change::Put(record) = change else {
                     panic!("nothing was deleted");
@@ -108,8 +108,8 @@
 async fn calls_are_counted_by_what_they_are_made_for() {
     let fleet = Fleet::start(Spec::small()).unwrap();
     let client = client(&fleet);
-    let place = client.counted_for(Purpose::Registration);
-    place.grant(Duration::from_secs(5)).await.unwrap();
+    let registration = client.counted_for(Purpose::Registration);
+    registration.grant(Duration::from_secs(5)).await.unwrap();
     client.put(KEY, b"one".to_vec()).await.unwrap();
     let counted: Vec<_> = client
         .calls()
--- a/crates/store/tests/mirror.rs
+++ b/crates/store/tests/mirror.rs
@@ -56,8 +56,8 @@
 }
 
 /// What a mirror holds, by key.
-fn held(mirror: &Mirror) -> BTreeMap<String, (Vec<u8>, u64)> {
-    let Update::Listing(listing) = mirror.since(Revision(0)) else {
+fn records(mirror: &Mirror) -> BTreeMap<String, (Vec<u8>, u64)> {
+    let Update::Listing(listing) = mirror.changes_since(Revision(0)) else {
         panic!("everything is a listing");
     };
     let pair = |r: Record| (r.key, (r.value, r.revision.0));
@@ -74,20 +74,20 @@
         let (mut oracle, mut reader, mut follower) =
             (Oracle::default(), Mirror::default(), Mirror::default());
         oracle.step(&mut rng);
-        reader.take(&Update::Listing(oracle.listing()));
+        reader.apply(&Update::Listing(oracle.listing()));
         for _ in 0..120 {
             let batch = oracle.step(&mut rng);
             if rng.random_bool(0.05) {
-                reader.take(&Update::Listing(oracle.listing()));
+                reader.apply(&Update::Listing(oracle.listing()));
             } else {
-                reader.take(&Update::Changes(batch));
+                reader.apply(&Update::Changes(batch));
             }
             if rng.random_bool(0.4) {
-                let news = reader.since(follower.revision());
-                follower.take(&news);
-                assert_eq!(held(&follower), oracle.keys, "seed {seed}");
+                let update = reader.changes_since(follower.revision());
+                follower.apply(&update);
+                assert_eq!(records(&follower), oracle.keys, "seed {seed}");
             }
         }
-        assert_eq!(held(&reader), oracle.keys, "seed {seed}");
+        assert_eq!(records(&reader), oracle.keys, "seed {seed}");
     }
 }
