--- a/crates/store/src/calls.rs
+++ b/crates/store/src/calls.rs
@@ -1,4 +1,4 @@
-//! Counts of the calls made to the platform.
+//! Counters of calls to the platform, by purpose and kind.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -43,16 +43,16 @@
 /// What a call is made for.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Purpose {
-    /// Following what is stored.
+    /// Reading and watching stored records; the default.
     #[default]
     Follow,
-    /// Keeping this process's place: its lease, its announcement, its doubts.
+    /// Keeping this process registered: its lease, its announcement, its suspicions.
     Registration,
-    /// Taking and keeping the coordinator's duty.
+    /// Acquiring and renewing the coordinator role.
     CoordinatorRole,
-    /// Noting changes of primary.
+    /// Recording intents to change a primary.
     Intents,
-    /// Asking whether a change of primary is under way.
+    /// Checking whether a change of primary is under way.
     Changes,
 }
 
@@ -78,7 +78,7 @@
     }
 }
 
-/// Counters that a client and its clones share; readable from any thread.
+/// Counters shared by a client and its clones; readable from any thread.
 #[derive(Clone, Debug, Default)]
 pub struct Calls(Arc<Counters>);
 
@@ -112,7 +112,7 @@
         Kind::ALL.iter().map(|&kind| self.get(kind)).sum()
     }
 
-    /// Calls that got no usable answer.
+    /// Calls that got no usable response.
     pub fn failures(&self) -> u64 {
         self.0.failures.load(Ordering::Relaxed)
     }
--- a/crates/store/src/client.rs
+++ b/crates/store/src/client.rs
@@ -1,4 +1,4 @@
-//! Transport: endpoints, time limits and connection hygiene.
+//! Transport: endpoints, time limits and replacement of unresponsive connections.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -11,27 +11,27 @@
 use crate::calls::{Calls, Kind, Purpose};
 use crate::error::Error;
 
-/// Longest wait for one call's answer. The platform answers in milliseconds, and a
-/// promotion waits for its answers, so a longer wait would only prolong a write gap.
+/// Longest wait for one response. The platform responds in milliseconds, and a promotion
+/// waits for its responses, so a longer limit would only prolong the time without writes.
 pub const TIME_LIMIT: Duration = Duration::from_millis(500);
 
-/// Most bytes of one answer. A page of a listing has about a megabyte, and a watch tells
-/// everything that changed since a revision; more than this is no answer to keep.
+/// Maximum size of one response, in bytes. A page of a listing has about a megabyte, and a
+/// watch reports every change since a revision; a larger response is an error.
 const MAX_RESPONSE: usize = 16 << 20;
 
-/// A client of the platform's services, cheap to clone within its runtime.
+/// Client of the platform's services; cheap to clone within its runtime.
 #[derive(Clone)]
 pub struct Client {
     inner: Rc<Inner>,
-    /// Sent along with each request, so that the platform's spans join the trace.
+    /// Sent with each request, so that the platform's spans belong to the same trace.
     trace: Option<trace::Context>,
-    /// What its calls are counted for.
+    /// Purpose under which its calls are counted.
     purpose: Purpose,
 }
 
 struct Inner {
     endpoints: Vec<String>,
-    /// Endpoint that answered last; tried first.
+    /// Index of the endpoint that responded last; tried first.
     preferred: Cell<usize>,
     http: RefCell<cyper::Client>,
     calls: Calls,
@@ -39,12 +39,12 @@
 }
 
 impl Client {
-    /// A client of the service at `endpoints` (`http://IP:PORT`), any of which may answer.
+    /// Creates a client of the service at `endpoints` (`http://IP:PORT`), all equivalent.
     pub fn new(endpoints: Vec<String>) -> Result<Self, Error> {
         Self::with_time_limit(endpoints, TIME_LIMIT)
     }
 
-    /// A client with another time limit per call.
+    /// Creates a client with another time limit per call.
     pub fn with_time_limit(endpoints: Vec<String>, time_limit: Duration) -> Result<Self, Error> {
         let endpoints = endpoints
             .into_iter()
@@ -64,7 +64,7 @@
         })
     }
 
-    /// The same client, whose requests belong to a trace.
+    /// Returns a clone whose requests carry a trace context.
     #[must_use]
     pub fn traced(&self, trace: Option<trace::Context>) -> Self {
         Self {
@@ -73,7 +73,7 @@
         }
     }
 
-    /// The same client, whose calls are counted for a purpose.
+    /// Returns a clone whose calls are counted under `purpose`.
     #[must_use]
     pub fn counted_for(&self, purpose: Purpose) -> Self {
         Self {
@@ -82,19 +82,19 @@
         }
     }
 
-    /// The counters of this client's calls.
+    /// Counters of the calls of this client and its clones.
     pub fn calls(&self) -> &Calls {
         &self.inner.calls
     }
 
-    /// Longest wait for one call's answer.
+    /// Longest wait for one response.
     pub fn time_limit(&self) -> Duration {
         self.inner.time_limit
     }
 
-    /// Sends a request to one endpoint after another until one answers it.
+    /// Sends a request to one endpoint after another until one responds with success.
     ///
-    /// For calls that may be repeated without harm.
+    /// Only for calls that are safe to repeat.
     pub(crate) async fn post<Req, Res>(
         &self,
         kind: Kind,
@@ -113,8 +113,8 @@
                     self.inner.preferred.set(index);
                     return serde_json::from_slice(&bytes).map_err(Error::Decode);
                 }
-                // An endpoint that may have taken the request outweighs one that
-                // certainly did not: the caller must not read "no effect".
+                // An error that leaves open whether the request took effect is kept over
+                // one that rules it out: the caller must not conclude "no effect".
                 Err(e) if last.had_no_effect() => last = e,
                 Err(_) => {}
             }
@@ -139,15 +139,16 @@
         self.within_limit(exchange).await
     }
 
-    /// Sends one request as it is and gives back whatever answer comes. The answer must
-    /// begin within `limit`, and from then on go on within the client's time limit.
+    /// Sends one request to the first endpoint and returns the response, whatever its status.
+    /// The response must begin within `limit`; after that, each chunk must arrive within the
+    /// client's time limit.
     ///
-    /// For speakers of other interfaces than etcd's gateway: they read the status
-    /// themselves and decide whether a lost answer may be asked for again.
+    /// For interfaces other than etcd's gateway: their callers check the status themselves
+    /// and decide whether to repeat a request whose response was lost.
     ///
-    /// Load: a region's proxies all start and ask for everything over one narrow link.
-    /// Harm of a limit on the whole answer: none is over in time, each is thrown away and
-    /// asked for again, and the link stays full of answers that nobody waits for.
+    /// When all proxies of a region start, each requests everything over one narrow link.
+    /// With a limit on the whole response, none would complete in time: each would be
+    /// discarded and requested again, and the link would stay full of expired responses.
     pub async fn exchange(
         &self,
         kind: Kind,
@@ -182,7 +183,7 @@
         endpoint.map(String::as_str).ok_or(Error::NoEndpoint)
     }
 
-    /// Reads a plain document, e.g. the VM list.
+    /// Fetches a document by its URL, e.g. the VM list.
     pub(crate) async fn fetch(&self, kind: Kind, url: &str) -> Result<Vec<u8>, Error> {
         self.inner.calls.add(self.purpose, kind);
         let request = self.http().get(url);
@@ -194,7 +195,7 @@
         self.within_limit(exchange).await
     }
 
-    /// Opens a stream on the preferred endpoint, or on the next if that fails.
+    /// Opens a stream on the preferred endpoint, or on the next one if that fails.
     pub(crate) async fn open_stream<Req: serde::Serialize>(
         &self,
         kind: Kind,
@@ -251,9 +252,8 @@
         let result = match compio::time::timeout(limit, exchange).await {
             Ok(result) => result,
             Err(_) => {
-                // An open connection can go silent for good while new ones work. It
-                // shows as a time-out, and would again on the next call if the pool
-                // handed it out: a new client has an empty pool.
+                // A pooled connection can stay unresponsive while new ones work, and each
+                // call that reuses it times out. A new client starts with an empty pool.
                 *self.inner.http.borrow_mut() = http_client()?;
                 Err(Error::Timeout(limit))
             }
--- a/crates/store/src/config.rs
+++ b/crates/store/src/config.rs
@@ -13,22 +13,22 @@
 /// Why the configuration could not be read or replaced.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
-    /// The store gave no usable answer.
+    /// The store gave no usable response.
     #[error(transparent)]
     Store(#[from] Error),
-    /// What the store holds cannot be read.
+    /// The stored configuration cannot be read.
     #[error(transparent)]
     Document(#[from] DocumentError),
 }
 
-/// The configuration that the store holds.
+/// The configuration as read from the store.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct StoredConfig {
-    /// Revision that put it in force; 0 when the store holds none.
+    /// Revision at which it took effect; 0 when the store holds none.
     pub revision: Revision,
     /// The configuration.
     pub fleet: Fleet,
-    /// Keys of its parts.
+    /// Keys of the parts that it refers to.
     parts: HashSet<String>,
 }
 
@@ -48,7 +48,7 @@
         self.load_parts(head).await
     }
 
-    /// Completes a head by the parts that it names.
+    /// Reads the parts that a head refers to and decodes the configuration.
     pub async fn load_parts(&self, head: Record) -> Result<StoredConfig, ConfigError> {
         let mut parts = HashMap::new();
         if !document::references(&head.value, |_| None)?.is_empty() {
@@ -65,13 +65,13 @@
         })
     }
 
-    /// Puts `fleet` in the place of `base`; conflicts when `base` is no longer in force.
+    /// Replaces `base` by `fleet`; conflicts when `base` is no longer in force.
     ///
-    /// Parts go first: they are named by their content and nobody reads them until the
-    /// head names them, so a writer that dies in between leaves the old configuration.
-    /// Only parts that `base` refers to are skipped. One that an earlier configuration
-    /// left behind is written again, since proxies have dropped it and learn of changes
-    /// by their revision.
+    /// Parts are written first. Their keys derive from their content, and nobody reads them
+    /// before the head refers to them, so a writer that fails in between leaves the old
+    /// configuration in force. Only parts that `base` refers to are skipped. A part left by
+    /// an earlier configuration is written again: proxies have dropped it, and they detect
+    /// changes by revision.
     pub async fn save_config(
         &self,
         base: &StoredConfig,
--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -1,28 +1,28 @@
-//! What can go wrong between us and the platform.
+//! Errors of calls to the platform.
 
-/// Why a call has no usable answer.
+/// Why a call got no usable response.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// No endpoint is configured.
     #[error("no store endpoint is configured")]
     NoEndpoint,
-    /// No endpoint accepted a connection: the call had no effect.
+    /// No connection could be established: the call had no effect.
     #[error("the platform is unreachable: {0}")]
     Unreachable(#[source] cyper::Error),
     /// The connection failed after the request may have been sent.
     #[error("the connection to the platform failed: {0}")]
     Connection(#[source] cyper::Error),
-    /// No answer within the time limit.
-    #[error("the platform did not answer within {0:?}")]
+    /// No response within the time limit.
+    #[error("the platform did not respond within {0:?}")]
     Timeout(std::time::Duration),
-    /// An answer has more bytes than are kept.
-    #[error("the platform's answer has more than {0} bytes")]
+    /// A response exceeds the size limit.
+    #[error("the platform's response has more than {0} bytes")]
     TooLarge(usize),
     /// An HTTP status other than 200.
-    #[error("the platform answered HTTP status {0}")]
+    #[error("the platform responded with HTTP status {0}")]
     Status(u16),
-    /// An answer that cannot be read.
-    #[error("the platform's answer cannot be read: {0}")]
+    /// A response that cannot be decoded.
+    #[error("the platform's response cannot be decoded: {0}")]
     Decode(#[source] serde_json::Error),
     /// The service ended the watch, e.g. because the start revision was compacted.
     #[error("the platform ended the watch")]
--- a/crates/store/src/kv.rs
+++ b/crates/store/src/kv.rs
@@ -12,16 +12,16 @@
 use crate::lease::LeaseId;
 use crate::wire;
 
-/// Tries of one compare-and-swap whose answers were lost.
+/// Maximum number of attempts at one transaction.
 const MAX_ATTEMPTS: u32 = 3;
 
-/// Wait before a lost answer is asked for again.
+/// Delay before a failed transaction is sent again.
 const RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Most writes of one transaction; the service accepts 128.
+/// Maximum number of writes in one transaction; the service accepts 128.
 const BATCH_WRITES: usize = 64;
 
-/// Most bytes of one transaction's values; the service accepts 1.5 MB in base64.
+/// Bytes of values at which a transaction is sent; the service accepts 1.5 MB in base64.
 const BATCH_BYTES: usize = 512 << 10;
 
 /// A key's value with the revision that wrote it.
@@ -46,14 +46,14 @@
     pub revision: Revision,
 }
 
-/// What became of a compare-and-swap.
+/// Outcome of a compare-and-swap.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Our value took effect, at this revision.
+    /// The value took effect, at this revision.
     Applied(Revision),
-    /// The key holds another writer's value, or none: ours is not in force.
+    /// The key holds another writer's value, or none: this one is not in force.
     Conflict(Option<Record>),
-    /// No answer came: our value may have taken effect, or may still do so.
+    /// No response arrived: the value may have taken effect, or may still do so.
     Unknown,
 }
 
@@ -68,7 +68,7 @@
         Ok(listing.records.into_iter().next())
     }
 
-    /// Reads every key with a prefix, at one moment.
+    /// Reads every key with a prefix, as one snapshot.
     pub async fn list(&self, prefix: &str) -> Result<Listing, Error> {
         let req = wire::RangeRequest {
             key: wire::Blob(prefix.into()),
@@ -85,7 +85,7 @@
         })
     }
 
-    /// Writes one key, whatever it holds.
+    /// Writes one key unconditionally.
     pub async fn put(&self, key: &str, value: Vec<u8>) -> Result<Revision, Error> {
         let req = wire::PutRequest {
             key: wire::Blob(key.into()),
@@ -96,9 +96,9 @@
         Ok(Revision(res.header.revision.0))
     }
 
-    /// Writes many keys, a batch at a time; a failure may leave some of them written.
+    /// Writes many keys in batches; after a failure, some of them may be written.
     ///
-    /// For values that may be written twice without harm: lost answers are asked again.
+    /// Only for values that are safe to write twice: a batch that fails is sent again.
     pub async fn put_all(
         &self,
         writes: impl Iterator<Item = (String, Vec<u8>)>,
@@ -140,11 +140,11 @@
 
     /// Writes `key` if its last change has revision `expected` (0: the key is absent).
     ///
-    /// `value` must hold a nonce that no other write of this key has ever held. Answers
-    /// may be lost although the change took effect; then the same request is sent again.
-    /// That is safe, since the first one that takes effect changes the revision and so
-    /// defeats the others, and it settles the outcome: a repetition that fails its
-    /// comparison reads back either our own nonce or another writer's value.
+    /// `value` must contain a nonce that no other write of this key has ever contained. A
+    /// response may be lost although the change took effect; the same request is then sent
+    /// again. This is safe: the first request that takes effect changes the revision, so
+    /// the comparison of the others fails. It also determines the outcome: a request whose
+    /// comparison fails reads back either this value, by its nonce, or another writer's.
     pub async fn swap(
         &self,
         key: &str,
@@ -154,7 +154,7 @@
         self.swap_with(key, expected, value, None).await
     }
 
-    /// Like [`Client::swap`]; the key goes when the lease lapses.
+    /// Like [`Client::swap`]; the key is deleted when the lease expires.
     pub async fn swap_leased(
         &self,
         key: &str,
--- a/crates/store/src/lease.rs
+++ b/crates/store/src/lease.rs
@@ -1,4 +1,4 @@
-//! Leases: promises of the store to forget keys whose owner went silent.
+//! Leases: the store deletes the keys of an owner that no longer renews its lease.
 
 use std::time::Duration;
 
@@ -7,17 +7,17 @@
 use crate::error::Error;
 use crate::wire;
 
-/// A lease's number.
+/// Id of a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseId(pub u64);
 
 impl LeaseId {
-    /// No lease: what is written with it stays until it is deleted.
+    /// No lease: a key written with it stays until it is deleted.
     pub const NONE: Self = Self(0);
 }
 
 impl Client {
-    /// Asks for a lease that lapses after `ttl` (whole seconds, at least one) without renewal.
+    /// Requests a lease that expires `ttl` (whole seconds, at least one) after its last renewal.
     pub async fn grant(&self, ttl: Duration) -> Result<LeaseId, Error> {
         let ttl = wire::Int(ttl.as_secs().max(1));
         let req = wire::LeaseGrantRequest { ttl };
@@ -25,7 +25,7 @@
         Ok(LeaseId(res.id.0))
     }
 
-    /// Renews a lease; `None` when it has lapsed.
+    /// Renews a lease and returns its time to live; `None` when it has expired.
     pub async fn keep_alive(&self, lease: LeaseId) -> Result<Option<Duration>, Error> {
         let req = wire::LeaseRequest {
             id: wire::Int(lease.0),
@@ -36,7 +36,7 @@
         Ok((ttl > 0).then(|| Duration::from_secs(ttl)))
     }
 
-    /// Gives a lease back; its keys go at once.
+    /// Revokes a lease; its keys are deleted at once.
     pub async fn revoke(&self, lease: LeaseId) -> Result<(), Error> {
         let req = wire::LeaseRequest {
             id: wire::Int(lease.0),
--- a/crates/store/src/mirror.rs
+++ b/crates/store/src/mirror.rs
@@ -1,4 +1,4 @@
-//! A copy of what the store told, with enough history to tell others what changed.
+//! Copy of the store's records, with enough history to send other processes what changed.
 
 use std::collections::VecDeque;
 
@@ -9,21 +9,21 @@
 use crate::kv::{Listing, Record};
 use crate::watch::{Batch, Change};
 
-/// Most changes that are kept, and most bytes of their values. Who is further behind gets
-/// everything; a large configuration has half a megabyte.
+/// Maximum number of changes in the history, and of bytes of their values. A process that is
+/// further behind receives all records; a large configuration has half a megabyte.
 const HISTORY_LIMIT: (usize, usize) = (1_000, 2 << 20);
 
-/// What one process tells another about the store.
+/// What one process sends another about the store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Update {
-    /// Everything.
+    /// All records.
     Listing(Listing),
-    /// What changed since the revision that was asked for.
+    /// Changes since the requested revision.
     Changes(Batch),
 }
 
 impl Update {
-    /// The store's revision up to which it tells everything.
+    /// The store's revision up to which the update is complete.
     pub fn revision(&self) -> Revision {
         match self {
             Self::Listing(listing) => listing.revision,
@@ -32,9 +32,9 @@
     }
 }
 
-/// The copy.
+/// Copy of the store's records.
 ///
-/// Invariant: `history` holds every change after `floor`, oldest first.
+/// Invariant: `history` holds every change after `compacted`, oldest first.
 #[derive(Clone, Debug, Default)]
 pub struct Mirror {
     records: IndexMap<String, Record>,
@@ -46,12 +46,12 @@
 }
 
 impl Mirror {
-    /// The revision up to which everything is known; 0 before the first listing.
+    /// The revision up to which the copy is complete; 0 before the first listing.
     pub fn revision(&self) -> Revision {
         self.revision
     }
 
-    /// Takes news over.
+    /// Applies an update.
     pub fn apply(&mut self, update: &Update) {
         match update {
             Update::Listing(listing) => self.replace(listing),
@@ -91,7 +91,8 @@
         }
     }
 
-    /// What somebody lacks who knows everything up to `after`.
+    /// What a copy that is complete up to `after` lacks: the changes since then, or all records
+    /// if the history does not reach back to it.
     pub fn changes_since(&self, after: Revision) -> Update {
         if after < self.compacted {
             let records = self.records.values().cloned().collect();
--- a/crates/store/src/vms.rs
+++ b/crates/store/src/vms.rs
@@ -1,4 +1,4 @@
-//! The platform's list of VMs. It lags behind reality: a hint, never a proof.
+//! The platform's list of VMs. It lags behind the actual state, so it is only a hint.
 
 use std::net::IpAddr;
 
@@ -8,13 +8,13 @@
 use crate::client::Client;
 use crate::error::Error;
 
-/// State of a VM as the platform believes it.
+/// State of a VM according to the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum State {
     /// It runs.
     Live,
-    /// It is about to be taken away.
+    /// It is about to be removed.
     Leaving,
 }
 
--- a/crates/store/src/watch.rs
+++ b/crates/store/src/watch.rs
@@ -12,7 +12,7 @@
 use crate::kv::{self, Record};
 use crate::wire;
 
-/// Most bytes of one unfinished message; a value has at most a megabyte, in base64.
+/// Maximum size of an incomplete message, in bytes; a value has at most a megabyte, in base64.
 const MAX_MESSAGE: usize = 4 << 20;
 
 /// A change that a watch reports.
@@ -24,7 +24,7 @@
     Delete(String, Revision),
 }
 
-/// Changes that took effect together, with the revision up to which the watch has told all.
+/// Changes that are reported together, with the revision up to which the report is complete.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Batch {
     /// The changes, in the order of their revisions.
@@ -56,10 +56,10 @@
 }
 
 impl Watch {
-    /// Waits for the next message; `None` when none came within `patience`.
+    /// Waits for the next message; `None` when none arrives within `timeout`.
     ///
-    /// A watch whose connection was lost track of looks like one without changes. Its
-    /// user must therefore open a new one, from the last revision, every few seconds.
+    /// A watch whose connection is lost unnoticed looks like one without changes. The caller
+    /// must therefore open a new one, from the last revision, every few seconds.
     pub async fn next(&mut self, timeout: Duration) -> Result<Option<Batch>, Error> {
         match compio::time::timeout(timeout, self.next_message()).await {
             Ok(message) => message.map(Some),
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Takes the first whole message out of the buffer.
+    /// Removes the first complete message from the buffer.
     fn take_message(&mut self) -> Result<Option<wire::WatchResult>, Error> {
         let mut messages =
             serde_json::Deserializer::from_slice(&self.buf).into_iter::<wire::WatchMessage>();
--- a/crates/store/src/wire.rs
+++ b/crates/store/src/wire.rs
@@ -1,4 +1,4 @@
-//! JSON forms of etcd v3's gateway: 64-bit numbers as text, keys and values in base64.
+//! JSON messages of etcd v3's gateway: 64-bit numbers as text, keys and values in base64.
 
 use base64::Engine as _;
 use base64::engine::general_purpose::STANDARD;
@@ -98,7 +98,7 @@
 }
 
 impl Compare {
-    /// Holds while the key's last change has this revision; 0 stands for an absent key.
+    /// True while the key's last change has this revision; 0 denotes an absent key.
     pub(crate) fn unchanged(key: &str, revision: u64) -> Self {
         Self {
             key: Blob(key.into()),
@@ -193,7 +193,7 @@
     pub(crate) ttl: Int,
 }
 
-/// The keep-alive endpoint is a stream; its messages are wrapped.
+/// The keep-alive endpoint is a stream, so its messages are wrapped in `result`.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default)]
 pub(crate) struct KeepAliveMessage {
--- a/crates/store/tests/client.rs
+++ b/crates/store/tests/client.rs
@@ -1,4 +1,4 @@
-//! The client against the platform's stand-in.
+//! Tests of the client against the platform's stand-in.
 
 use std::time::Duration;
 
@@ -41,10 +41,10 @@
     assert!(matches!(third, Outcome::Applied(later) if later > revision));
 }
 
-/// An operator applies a change; the store carries it out and its answer is lost. A
-/// second try that took its own value for another's would report a conflict.
+/// The store applies an operator's change, but its response is lost. A retry that takes its
+/// own value for another writer's would report a conflict.
 #[compio::test]
-async fn a_swap_whose_answer_was_lost_is_applied_once() {
+async fn a_swap_whose_response_was_lost_is_applied_once() {
     let fleet = Fleet::start(Spec::small()).unwrap();
     let client = client(&fleet);
     fleet.control().store(Fault::LoseAnswers(1)).unwrap();
@@ -57,7 +57,7 @@
 }
 
 #[compio::test]
-async fn an_outage_is_told_apart_from_a_refusal() {
+async fn an_outage_is_distinguished_from_a_refused_connection() {
     let fleet = Fleet::start(Spec::small()).unwrap();
     let client = client(&fleet);
     fleet.control().store(Fault::Silent).unwrap();
@@ -70,7 +70,7 @@
 }
 
 #[compio::test]
-async fn a_watch_tells_changes_since_a_revision() {
+async fn a_watch_reports_changes_since_a_revision() {
     let fleet = Fleet::start(Spec::small()).unwrap();
     let client = client(&fleet);
     let first = client.put(KEY, b"one".to_vec()).await.unwrap();
@@ -95,7 +95,7 @@
 }
 
 #[compio::test]
-async fn a_lease_is_granted_renewed_and_given_back() {
+async fn a_lease_is_granted_renewed_and_revoked() {
     let fleet = Fleet::start(Spec::small()).unwrap();
     let client = client(&fleet);
     let lease = client.grant(Duration::from_secs(5)).await.unwrap();
@@ -105,7 +105,7 @@
 }
 
 #[compio::test]
-async fn calls_are_counted_by_what_they_are_made_for() {
+async fn calls_are_counted_by_purpose() {
     let fleet = Fleet::start(Spec::small()).unwrap();
     let client = client(&fleet);
     let registration = client.counted_for(Purpose::Registration);
--- a/crates/store/tests/mirror.rs
+++ b/crates/store/tests/mirror.rs
@@ -1,4 +1,4 @@
-//! What a process tells others about the store, against the store itself.
+//! Tests that a mirror updated by another mirror matches the store.
 
 use std::collections::BTreeMap;
 
@@ -9,7 +9,7 @@
 use store::mirror::{Mirror, Update};
 use store::watch::{Batch, Change};
 
-/// The store: each key's value and revision.
+/// Model of the store: each key's value and revision.
 #[derive(Default)]
 struct Oracle {
     keys: BTreeMap<String, (Vec<u8>, u64)>,
@@ -17,7 +17,7 @@
 }
 
 impl Oracle {
-    /// Changes a few keys at once and tells what a watch tells.
+    /// Changes a few keys at once and returns what a watch reports.
     fn step(&mut self, rng: &mut StdRng) -> Batch {
         self.revision += rng.random_range(1..4);
         let mut changes = Vec::new();
@@ -55,7 +55,7 @@
     }
 }
 
-/// What a mirror holds, by key.
+/// A mirror's records, by key.
 fn records(mirror: &Mirror) -> BTreeMap<String, (Vec<u8>, u64)> {
     let Update::Listing(listing) = mirror.changes_since(Revision(0)) else {
         panic!("everything is a listing");
@@ -64,11 +64,11 @@
     listing.records.into_iter().map(pair).collect()
 }
 
-/// A proxy follows a neighbour that reads the store, now and then late by many changes, and
-/// the neighbour lists everything again at times. Whatever the order, the follower ends
-/// with what the store holds: callers served through it see the same configuration.
+/// A proxy receives updates from a store reader, sometimes many changes late, and the reader
+/// lists everything again at times. In any order, the proxy's mirror must match the store:
+/// otherwise its callers see another configuration.
 #[test]
-fn a_follower_ends_with_what_the_store_holds() {
+fn a_mirror_updated_by_another_matches_the_store() {
     for seed in 0..40 {
         let mut rng = StdRng::seed_from_u64(seed);
         let (mut oracle, mut reader, mut follower) =
