--- a/crates/peer/src/auth.rs
+++ b/crates/peer/src/auth.rs
@@ -1,9 +1,9 @@
-//! Proof that a request or an answer comes from a holder of the fleet's secret.
+//! Authentication of requests and responses by the fleet's secret.
 //!
-//! Each request carries its time, a nonce and a keyed hash over method, path, time,
-//! nonce, trace context and body; each answer a keyed hash over the request's nonce, the
-//! status and the body. A recorded request is refused when it is sent again: its nonce
-//! is remembered for as long as its time is accepted.
+//! Each request carries its time, a nonce and a MAC over method, path, time, nonce, trace
+//! context and body; each response carries a MAC over the request's nonce, the status and
+//! the body. A replayed request is rejected: its nonce is remembered for as long as its
+//! time is accepted.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashSet};
@@ -11,30 +11,30 @@
 
 use hmac::Mac as _;
 
-/// How far the clocks of two VMs may differ, in milliseconds. Longer would mean more
-/// nonces to remember, shorter refuses peers whose clock is off.
+/// How far the clocks of two VMs may differ, in milliseconds. A longer window needs more
+/// remembered nonces, a shorter one rejects peers whose clock is off.
 pub const WINDOW_MS: u64 = 30_000;
 
-/// Nonces that are remembered: the requests of a window at 1,000 a second, ten times a
-/// busy proxy's share. A peer that sends more is refused rather than forgotten about.
+/// Maximum number of remembered nonces: the requests of a window at 1,000 a second, ten times
+/// a busy proxy's share. Further requests are rejected: forgetting a nonce would allow replay.
 pub const MAX_NONCES: usize = 60_000;
 
-/// Bytes of a nonce.
+/// Length of a nonce, in bytes.
 pub const NONCE_LEN: usize = 16;
 
-/// Bytes of a keyed hash.
+/// Length of a MAC, in bytes.
 pub const TAG_LEN: usize = 32;
 
 type HmacSha256 = hmac::Hmac<sha2::Sha256>;
 
-/// Why a request or an answer is not trusted.
+/// Why a request or a response is not trusted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum AuthError {
     /// Header fields are missing or malformed.
-    #[error("the request carries no proof")]
+    #[error("the signature is missing or malformed")]
     Missing,
-    /// The keyed hash does not match: another secret, or an altered message.
-    #[error("the proof does not match")]
+    /// The MAC does not match: another secret, or an altered message.
+    #[error("the signature does not match")]
     Mismatch,
     /// The request's time is outside the accepted window.
     #[error("the request's time is {0} ms off")]
@@ -47,11 +47,11 @@
     Overload,
 }
 
-/// A number that no other request of the fleet carries.
+/// Number that is unique to one request of the fleet.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Nonce(pub [u8; NONCE_LEN]);
 
-/// What the proof of a request covers besides its body.
+/// Signed fields of a request besides its body.
 #[derive(Clone, Copy)]
 pub struct Envelope<'a> {
     /// HTTP method.
@@ -66,7 +66,7 @@
     pub trace: &'a str,
 }
 
-/// The fleet's secret as a key for proofs.
+/// The fleet's secret as a MAC key.
 #[derive(Clone)]
 pub struct Key(HmacSha256);
 
@@ -77,7 +77,7 @@
 }
 
 impl Key {
-    /// Makes a key from the fleet's secret.
+    /// Creates a key from the fleet's secret.
     pub fn new(secret: &[u8]) -> Self {
         Self(HmacSha256::new_from_slice(secret).expect("HMAC takes a key of any length"))
     }
@@ -103,7 +103,7 @@
         mac
     }
 
-    /// The proof of a request.
+    /// Signs a request.
     pub fn sign_request(&self, envelope: &Envelope<'_>, body: &[u8]) -> [u8; TAG_LEN] {
         self.request_mac(envelope, body)
             .finalize()
@@ -111,7 +111,7 @@
             .into()
     }
 
-    /// Checks a request's proof, in constant time.
+    /// Verifies a request's signature, in constant time.
     pub fn verify_request(
         &self,
         envelope: &Envelope<'_>,
@@ -122,13 +122,13 @@
         mac.verify_slice(tag).map_err(|_| AuthError::Mismatch)
     }
 
-    /// The proof of the answer to the request with this nonce.
+    /// Signs the response to the request with this nonce.
     pub fn sign_response(&self, nonce: Nonce, status: u16, body: &[u8]) -> [u8; TAG_LEN] {
         let mac = self.response_mac(nonce, status, body);
         mac.finalize().into_bytes().into()
     }
 
-    /// Checks an answer's proof, in constant time.
+    /// Verifies a response's signature, in constant time.
     pub fn verify_response(
         &self,
         nonce: Nonce,
@@ -141,24 +141,24 @@
     }
 }
 
-/// Lengths go first, so that no two lists of fields give one input.
+/// Adds a field after its length, so that no two lists of fields give the same input.
 fn update_field(mac: &mut HmacSha256, field: &[u8]) {
     mac.update(&(field.len() as u64).to_be_bytes());
     mac.update(field);
 }
 
-/// The nonces that arrived within the accepted window.
+/// Nonces of the requests received within the accepted window.
 ///
-/// Invariant: `seen` and `order` hold the same nonces, at most [`MAX_NONCES`].
+/// Invariant: `seen` and `expiries` hold the same nonces, at most [`MAX_NONCES`].
 #[derive(Debug, Default)]
 pub struct ReplayWindow {
     seen: HashSet<[u8; NONCE_LEN]>,
-    /// Nonces with the time when they may be forgotten, soonest first.
+    /// Nonces with the time after which they are forgotten, earliest first.
     expiries: BinaryHeap<Reverse<(u64, [u8; NONCE_LEN])>>,
 }
 
 impl ReplayWindow {
-    /// Admits a request whose proof has been checked, once.
+    /// Admits a request with a verified signature, once.
     pub fn admit(&mut self, now_ms: u64, envelope: &Envelope<'_>) -> Result<(), AuthError> {
         let skew = now_ms.abs_diff(envelope.time_ms);
         if skew > WINDOW_MS {
--- a/crates/peer/src/client.rs
+++ b/crates/peer/src/client.rs
@@ -14,36 +14,36 @@
 use crate::codec::{self, CodecError};
 use crate::server;
 
-/// Header with sender's clock, nonce and proof, separated by dots.
+/// Header with the sender's time, nonce and MAC, separated by dots; in a response only the MAC.
 pub const SIGNATURE: &str = "x-pomelo-proof";
 
-/// Why a peer gave no usable answer.
+/// Why a peer gave no usable response.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The peer refused the connection or could not be reached: it took no request.
+    /// No connection could be established: the peer received no request.
     #[error("the peer is unreachable: {0}")]
     Unreachable(#[source] cyper::Error),
     /// The connection failed after the request may have arrived.
     #[error("the connection to the peer failed: {0}")]
     Connection(#[source] cyper::Error),
-    /// No answer within the time limit.
-    #[error("the peer did not answer within {0:?}")]
+    /// No response within the time limit.
+    #[error("the peer did not respond within {0:?}")]
     Timeout(Duration),
-    /// The peer does not accept our proof.
-    #[error("the peer refused our proof")]
+    /// The peer did not accept the request as authentic.
+    #[error("the peer rejected the request's signature")]
     Rejected,
-    /// Another status than 200.
-    #[error("the peer answered HTTP status {0}")]
+    /// An HTTP status other than 200.
+    #[error("the peer responded with HTTP status {0}")]
     Status(u16),
-    /// The answer does not come from a holder of the secret.
-    #[error("the peer's answer is not trusted: {0}")]
+    /// The response does not come from a holder of the secret.
+    #[error("the peer's response is not trusted: {0}")]
     Auth(#[from] AuthError),
-    /// A message cannot be written or read.
+    /// A message cannot be encoded or decoded.
     #[error(transparent)]
     Codec(#[from] CodecError),
 }
 
-/// Sends requests to peers, cheap to clone within its runtime.
+/// Client for requests to peers; cheap to clone within its runtime.
 #[derive(Clone)]
 pub struct Client {
     inner: Rc<Inner>,
@@ -52,24 +52,24 @@
 struct Inner {
     key: Key,
     http: RefCell<cyper::Client>,
-    /// Bytes of bodies and headers sent and received, for the control budget.
+    /// Bytes of bodies and headers sent and received, for the budget of control traffic.
     traffic: server::Traffic,
 }
 
 impl Client {
-    /// A client that proves itself by `key`.
+    /// Creates a client that signs its requests with `key`.
     pub fn new(key: Key) -> Result<Self, Error> {
         Self::with_traffic(key, server::Traffic::default())
     }
 
-    /// A client that counts its bytes in `traffic`.
+    /// Creates a client that counts its bytes in `traffic`.
     pub fn with_traffic(key: Key, traffic: server::Traffic) -> Result<Self, Error> {
         let http = RefCell::new(http_client()?);
         let inner = Rc::new(Inner { key, http, traffic });
         Ok(Self { inner })
     }
 
-    /// Sends a request and waits at most `limit` for the answer.
+    /// Sends a request and waits at most `limit` for the response.
     pub async fn call<Req, Res>(
         &self,
         peer: SocketAddr,
@@ -87,8 +87,8 @@
         match compio::time::timeout(limit, exchange).await {
             Ok(response) => Ok(codec::decode(&response?)?),
             Err(_) => {
-                // A silent connection would silence every later request that the pool
-                // puts on it; a new client has an empty pool.
+                // Every later request that reuses an unresponsive connection would time
+                // out as well. A new client starts with an empty pool.
                 *self.inner.http.borrow_mut() = http_client()?;
                 Err(Error::Timeout(limit))
             }
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -1,5 +1,5 @@
-//! Requests between proxies: HTTP with MessagePack bodies, authenticated both ways by
-//! the fleet's secret.
+//! Requests between proxies: HTTP with MessagePack bodies, authenticated in both
+//! directions by the fleet's secret.
 //!
 //! Messages stay readable while proxies of two versions run side by side: they are
 //! written as maps with named fields, unknown fields are ignored, and a field added
--- a/crates/peer/src/server.rs
+++ b/crates/peer/src/server.rs
@@ -1,7 +1,7 @@
-//! Answering requests of peers.
+//! Server for requests of peers.
 //!
-//! Each path is answered by the task that owns the state asked for: the request is
-//! decoded, checked and sent to that task as a [`Call`].
+//! Each path is served by the task that owns the requested state: the request is
+//! authenticated, decoded and sent to that task as a [`Call`].
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -22,22 +22,22 @@
 use crate::client::SIGNATURE;
 use crate::codec;
 
-/// Requests that may wait for the task that answers them; more are refused, since a
-/// peer gives up on a late answer anyway.
+/// Maximum number of requests that wait for a task. Further ones are rejected, since the
+/// peer times out before a late response anyway.
 pub const QUEUE_CAPACITY: usize = 256;
 
-/// A request for the task that owns the answer. Dropping it answers *unavailable*.
+/// A request for the task that owns the state. Dropping it sends status 503 to the peer.
 #[derive(Debug)]
 pub struct Call<Req, Res> {
     /// The request.
     pub req: Req,
     /// The span that sent it.
     pub trace: Option<trace::Context>,
-    /// Takes the answer.
+    /// Sends the response back.
     pub reply: flume::Sender<Res>,
 }
 
-/// Bytes of control traffic, headers of HTTP itself not counted.
+/// Counters of control traffic: bytes, without HTTP's own headers, and messages.
 #[derive(Clone, Debug, Default)]
 pub struct Traffic(Arc<(AtomicU64, AtomicU64, AtomicU64)>);
 
@@ -82,7 +82,7 @@
 }
 
 impl Routes {
-    /// No paths yet; requests are checked against `key`.
+    /// Creates an empty set of paths; requests are verified with `key`.
     pub fn new(key: Key, traffic: Traffic) -> Self {
         let auth = Authenticator {
             key,
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Adds a path whose requests are answered by the receiver's owner.
+    /// Adds a path; its requests are sent to `tx`.
     #[must_use]
     pub fn route<Req, Res>(mut self, path: &str, tx: flume::Sender<Call<Req, Res>>) -> Self
     where
@@ -108,7 +108,7 @@
         self
     }
 
-    /// The paths as a router, to be served beside others.
+    /// Converts the paths into a router, to be served beside others.
     pub fn into_router(self) -> Router {
         self.router.layer(DefaultBodyLimit::max(codec::MAX_BODY))
     }
@@ -130,7 +130,7 @@
     let (nonce, cx) = match auth.check(&parts, &body) {
         Ok(checked) => checked,
         Err(e) => {
-            tracing::warn!(path = parts.uri.path(), cause = %e, "peer refused");
+            tracing::warn!(path = parts.uri.path(), cause = %e, "peer request rejected");
             return unauthorized();
         }
     };
@@ -159,7 +159,7 @@
     codec::encode(&response).map_err(|_| StatusCode::INTERNAL_SERVER_ERROR)
 }
 
-/// A peer without the secret learns nothing, not even why.
+/// Empty response with status 401: a sender without the secret learns no reason.
 fn unauthorized() -> Response {
     let mut response = Response::new(Body::empty());
     *response.status_mut() = StatusCode::UNAUTHORIZED;
@@ -182,7 +182,8 @@
             nonce,
             trace,
         };
-        // The proof goes first: strangers must not fill the window with nonces.
+        // The signature is verified first, so that senders without the secret cannot fill
+        // the replay window.
         self.key.verify_request(&envelope, body, &tag)?;
         let mut replays = self.replays.lock().unwrap_or_else(PoisonError::into_inner);
         replays.admit(unix_ms(), &envelope)?;
@@ -217,7 +218,7 @@
     Ok((time, Nonce(nonce), bytes(tag)?))
 }
 
-/// The clock of this VM, in milliseconds since 1970.
+/// This VM's clock, in milliseconds since 1970.
 pub fn unix_ms() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     since.map_or(0, |d| u64::try_from(d.as_millis()).unwrap_or(u64::MAX))
--- a/crates/peer/src/status.rs
+++ b/crates/peer/src/status.rs
@@ -21,12 +21,12 @@
     /// Whether it is being stopped.
     #[serde(default)]
     pub draining: bool,
-    /// Revision of the configuration that it has in force.
+    /// Revision of the configuration in force.
     pub revision: Revision,
     /// Whether it holds a watch on the store for its data centre.
     #[serde(default)]
     pub watching: bool,
-    /// Every proxy that it knows, itself included.
+    /// Every known proxy, itself included.
     #[serde(default)]
     pub members: Vec<Member>,
     /// The groups it serves.
@@ -41,11 +41,11 @@
     pub proxy: ProxyId,
     /// Its data centre.
     pub data_centre: DataCentre,
-    /// Where peers and operators reach it.
+    /// Its address for peers and operators.
     pub address: SocketAddr,
     /// `live`, `suspected` or `gone`.
     pub state: String,
-    /// Revision of the configuration that it last told to have in force.
+    /// Revision of the configuration that it last reported as in force.
     pub revision: Revision,
 }
 
--- a/crates/peer/tests/auth.rs
+++ b/crates/peer/tests/auth.rs
@@ -1,4 +1,4 @@
-//! Proof of requests and answers.
+//! Tests of signatures, replay protection and decoding.
 
 use peer::auth::{AuthError, Envelope, Key, MAX_NONCES, Nonce, ReplayWindow, WINDOW_MS};
 use proptest::prelude::*;
@@ -30,7 +30,7 @@
     #![proptest_config(config())]
 
     #[test]
-    fn any_altered_byte_is_refused(body in prop::collection::vec(any::<u8>(), 1..64), at: prop::sample::Index, flip in 1_u8..) {
+    fn any_altered_byte_is_rejected(body in prop::collection::vec(any::<u8>(), 1..64), at: prop::sample::Index, flip in 1_u8..) {
         let key = Key::new(b"fleet");
         let tag = key.sign_request(&envelope(1), &body);
         prop_assert_eq!(key.verify_request(&envelope(1), &body, &tag), Ok(()));
@@ -42,9 +42,9 @@
     }
 }
 
-/// A proof taken from one request would otherwise open another path.
+/// Otherwise the signature of one request would also be valid for another path.
 #[test]
-fn a_proof_covers_path_time_nonce_and_trace() {
+fn a_signature_covers_path_time_nonce_and_trace() {
     let key = Key::new(b"fleet");
     let tag = key.sign_request(&envelope(1), b"body");
     let altered = [
@@ -68,8 +68,8 @@
     }
 }
 
-/// Someone records a request on the wire and sends it again: a heartbeat would make a
-/// dead proxy look alive. The nonce is known, and once it is forgotten the time is old.
+/// An attacker records a request and replays it: a replayed heartbeat would make a failed
+/// proxy look alive. The nonce is remembered, and once it is forgotten the time is too old.
 #[test]
 fn a_request_is_accepted_once() {
     let mut window = ReplayWindow::default();
@@ -105,9 +105,9 @@
         ..ProptestConfig::default()
     })]
 
-    /// A peer of another version, or a stranger's bytes, give an error and no panic.
+    /// A body from a peer of another version or from any other sender never causes a panic.
     #[test]
-    fn any_body_is_decoded_or_refused(body in prop::collection::vec(any::<u8>(), 0..200)) {
+    fn any_body_is_decoded_or_rejected(body in prop::collection::vec(any::<u8>(), 0..200)) {
         let _ = peer::codec::decode::<peer::status::Status>(&body);
         let _ = peer::codec::decode::<Vec<(String, u64)>>(&body);
     }
--- a/crates/peer/tests/exchange.rs
+++ b/crates/peer/tests/exchange.rs
@@ -1,4 +1,4 @@
-//! Requests over a socket.
+//! Tests of requests and responses over a socket.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -23,7 +23,7 @@
     added: u32,
 }
 
-/// Serves one path and answers each request by its own text and trace.
+/// Serves one path and responds to each request with its own text and trace.
 async fn serve(key: Key) -> SocketAddr {
     let (tx, rx) = flume::bounded::<Call<Old, New>>(peer::server::QUEUE_CAPACITY);
     let routes = Routes::new(key, Traffic::default()).route(PATH, tx);
@@ -43,7 +43,7 @@
 }
 
 #[compio::test]
-async fn versions_that_differ_by_a_field_understand_each_other() {
+async fn versions_that_differ_by_a_field_interoperate() {
     let key = Key::new(b"fleet");
     let address = serve(key.clone()).await;
     let client = Client::new(key).unwrap();
@@ -56,7 +56,7 @@
 }
 
 #[compio::test]
-async fn the_trace_context_travels() {
+async fn the_trace_context_reaches_the_peer() {
     let key = Key::new(b"fleet");
     let address = serve(key.clone()).await;
     let client = Client::new(key).unwrap();
@@ -67,8 +67,8 @@
     assert_eq!(response.text, cx.to_string());
 }
 
-/// A process without the secret asks a proxy for its configuration, which holds the
-/// backend servers' passwords: it gets 401 and an empty body.
+/// A process without the secret requests a proxy's configuration, which contains the
+/// backend servers' passwords: it receives status 401 and an empty body.
 #[compio::test]
 async fn a_peer_without_the_secret_gets_nothing() {
     let address = serve(Key::new(b"fleet")).await;
@@ -84,10 +84,10 @@
     assert!(response.bytes().await.unwrap().is_empty());
 }
 
-/// A process at a recycled address answers in a peer's place. Without the secret it
-/// cannot prove the answer, and the answer is not used.
+/// Another process responds at an address that a peer used before. Without the secret it
+/// cannot sign the response, and the client rejects it.
 #[compio::test]
-async fn an_answer_without_proof_is_not_used() {
+async fn a_response_without_a_signature_is_rejected() {
     let handler = || async { peer::codec::encode(&Old::default()).unwrap() };
     let router = axum::Router::new().route(PATH, axum::routing::post(handler));
     let listener = compio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
