--- a/crates/front/src/member.rs
+++ b/crates/front/src/member.rs
@@ -175,7 +175,7 @@
         let Some(lease) = self.lease.take() else {
             return;
         };
-        if let Err(e) = kv::end(client, lease.id).await {
+        if let Err(e) = kv::revoke(client, lease.id).await {
             tracing::info!(cause = %e, "the lease was not ended; it lapses");
         }
     }
--- a/crates/front/src/member/duty.rs
+++ b/crates/front/src/member/duty.rs
@@ -197,7 +197,7 @@
 
     async fn give_up(&self, client: &Client, lease: LeaseId) {
         self.lease.set(None);
-        if let Err(e) = kv::end(client, lease).await {
+        if let Err(e) = kv::revoke(client, lease).await {
             tracing::info!(cause = %e, "a lease was not ended; it lapses");
         }
     }
--- a/crates/front/src/member/lease.rs
+++ b/crates/front/src/member/lease.rs
@@ -50,6 +50,6 @@
     ttl: Duration,
 ) -> Result<Option<Lease>, Error> {
     let asked = clock::now();
-    let kept = kv::keep(client, id).await?;
+    let kept = kv::keep_alive(client, id).await?;
     Ok(kept.then(|| Lease::since(id, asked, ttl)))
 }
