--- a/crates/front/src/conn.rs
+++ b/crates/front/src/conn.rs
@@ -12,7 +12,7 @@
 use model::position::Point;
 use model::statement::{Access, Code, Shape, StatementId, TxState};
 use model::unit::{Span, Time};
-use platform::line::{self, Own, Reply};
+use platform::line::{self, ProxyStatement, Reply};
 use platform::status;
 use policy::proof::Proof;
 use policy::takeover::State;
@@ -255,39 +255,39 @@
     fn plan(&mut self, setup: Setup<'_>) -> (Vec<u8>, Vec<Part>) {
         let mut buf = Vec::new();
         let mut parts = Vec::new();
-        let mut put = |own: &Own<'_>, part| {
-            line::put_own(&mut buf, own);
+        let mut put = |own: &ProxyStatement<'_>, part| {
+            line::put_proxy_statement(&mut buf, own);
             parts.push(part);
         };
         let gone = |values: &Values| self.values.keys().any(|k| !values.contains_key(k));
         let crowded = self.prepared.len() > MAX_PREPARED && self.state == TxState::Idle;
         if setup.values.is_some_and(gone) || crowded {
-            put(&Own::Reset, Part::Other);
+            put(&ProxyStatement::Reset, Part::Other);
             self.values.clear();
             self.prepared.clear();
         }
         for (name, value) in setup.values.into_iter().flatten() {
             if self.values.get(name) != Some(value) {
-                put(&Own::Set(name, value), Part::Other);
+                put(&ProxyStatement::Set(name, value), Part::Other);
                 self.values.insert(name.clone(), value.clone());
             }
         }
         if let Some(shape) = setup.shape.filter(|s| !self.prepared.contains_key(*s)) {
             self.names += 1;
             let name: Arc<str> = format!("p{}", self.names).into();
-            put(&Own::Prepare(&name, shape), Part::Other);
+            put(&ProxyStatement::Prepare(&name, shape), Part::Other);
             self.prepared.insert(shape.clone(), name);
         }
         if setup.prove {
-            put(&Own::Begin(Access::Write, None), Part::Lead);
-            put(&Own::Rollback, Part::Other);
+            put(&ProxyStatement::Begin(Access::Write, None), Part::Lead);
+            put(&ProxyStatement::Rollback, Part::Other);
         }
         if let Some((access, after)) = setup.begin {
             let part = match access {
                 Access::Write => Part::Lead,
                 Access::Read => Part::Other,
             };
-            put(&Own::Begin(access, after), part);
+            put(&ProxyStatement::Begin(access, after), part);
         }
         (buf, parts)
     }
@@ -317,7 +317,7 @@
     /// Drops the open transaction.
     pub async fn roll_back(&mut self, limit: Duration) -> Result<(), ConnError> {
         let mut buf = Vec::new();
-        line::put_own(&mut buf, &Own::Rollback);
+        line::put_proxy_statement(&mut buf, &ProxyStatement::Rollback);
         let answer = within(limit, async {
             self.writer.send(buf).await?;
             self.read_answer().await
@@ -329,7 +329,11 @@
     }
 
     /// Sends a statement that is answered with the instance's role and log.
-    pub async fn state(&mut self, own: &Own<'_>, limit: Duration) -> Result<State, ConnError> {
+    pub async fn state(
+        &mut self,
+        own: &ProxyStatement<'_>,
+        limit: Duration,
+    ) -> Result<State, ConnError> {
         let answer = self.tell(own, limit).await?;
         match answer.code {
             Some(code) => Err(ConnError::Refused(code)),
@@ -340,7 +344,7 @@
     /// End of the log that the instance holds at least: what it has received, or without a
     /// slot for the question what it has applied of that.
     pub async fn log_end(&mut self, limit: Duration) -> Result<Option<Point>, ConnError> {
-        let answer = self.tell(&Own::Status, limit).await?;
+        let answer = self.tell(&ProxyStatement::Status, limit).await?;
         // The time says nothing about callers' statements.
         self.took = None;
         match answer.code {
@@ -350,9 +354,13 @@
         }
     }
 
-    async fn tell(&mut self, own: &Own<'_>, limit: Duration) -> Result<Answer, ConnError> {
+    async fn tell(
+        &mut self,
+        own: &ProxyStatement<'_>,
+        limit: Duration,
+    ) -> Result<Answer, ConnError> {
         let mut buf = Vec::new();
-        line::put_own(&mut buf, own);
+        line::put_proxy_statement(&mut buf, own);
         self.run(buf, limit).await
     }
 
--- a/crates/front/src/coordinator/links.rs
+++ b/crates/front/src/coordinator/links.rs
@@ -8,7 +8,7 @@
 use model::id::InstanceId;
 use model::position::Revision;
 use model::unit::{Span, Time};
-use platform::line::Own;
+use platform::line::ProxyStatement;
 use policy::pool::{ConnRequest, Kind};
 use policy::takeover::{InstanceView, State};
 
@@ -102,7 +102,7 @@
     pub(super) async fn each(
         &mut self,
         entries: &[Entry],
-        own: &Own<'_>,
+        own: &ProxyStatement<'_>,
     ) -> IndexMap<InstanceId, State> {
         let calls = entries.iter().map(|entry| {
             let limit = self.limit(&entry.id);
@@ -146,7 +146,7 @@
         &mut self,
         this: &Coordinator,
         who: &[InstanceId],
-        own: &Own<'_>,
+        own: &ProxyStatement<'_>,
     ) -> IndexMap<InstanceId, State> {
         let known = self.entries(this).into_iter();
         let entries: Vec<_> = known
@@ -181,7 +181,7 @@
             .filter(|(entry, _)| asked(entry))
             .map(|(entry, _)| entry.clone())
             .collect();
-        let states = self.each(&to_ask, &Own::Status).await;
+        let states = self.each(&to_ask, &ProxyStatement::Status).await;
         let member = |(entry, listed): &(Entry, bool)| {
             let state = states.get(&entry.id).copied();
             InstanceView {
--- a/crates/front/src/coordinator/newcomers.rs
+++ b/crates/front/src/coordinator/newcomers.rs
@@ -11,7 +11,7 @@
 use model::entry::Entry;
 use model::id::InstanceId;
 use model::position::Term;
-use platform::line::Own;
+use platform::line::ProxyStatement;
 
 use super::links::Links;
 use super::{Coordinator, PAUSE, report};
@@ -58,7 +58,9 @@
             return;
         }
         let ids: Vec<_> = new.iter().map(|(id, _)| id.clone()).collect();
-        let states = links.some(this, &ids, &Own::Pause(self.term.0)).await;
+        let states = links
+            .some(this, &ids, &ProxyStatement::Pause(self.term.0))
+            .await;
         let group = links.group.group();
         tracing::warn!(%group, "an instance appeared during a change of primary");
         report::states(group, &states);
--- a/crates/front/src/coordinator/resume.rs
+++ b/crates/front/src/coordinator/resume.rs
@@ -2,7 +2,7 @@
 
 use model::id::InstanceId;
 use model::position::Revision;
-use platform::line::Own;
+use platform::line::ProxyStatement;
 use policy::takeover::{self, InstanceView, Role};
 
 use super::links::Links;
@@ -97,7 +97,7 @@
     if !this.holds(links.duty) {
         return;
     }
-    let states = links.some(this, stopped, &Own::Resume).await;
+    let states = links.some(this, stopped, &ProxyStatement::Resume).await;
     tracing::info!(%group, "replicas were told to receive again");
     report::states(&group, &states);
     if states.len() == stopped.len() && !earlier {
--- a/crates/front/src/coordinator/takeover.rs
+++ b/crates/front/src/coordinator/takeover.rs
@@ -7,7 +7,7 @@
 use model::id::InstanceId;
 use model::position::Revision;
 use model::unit::{Span, Time};
-use platform::line::Own;
+use platform::line::ProxyStatement;
 use policy::order_tracker::Purpose;
 use policy::takeover::{
     self, Cause, InstanceView, OrderResponse, Role, State, Step, Survey, WaitCause,
@@ -164,13 +164,19 @@
         match takeover::next_step(look) {
             Step::Abandon => self.end(Outcome::Abandoned),
             Step::Pause(term, who) => {
-                let states = self.links.some(this, &who, &Own::Pause(term.0)).await;
+                let states = self
+                    .links
+                    .some(this, &who, &ProxyStatement::Pause(term.0))
+                    .await;
                 tracing::info!(group = %group.group(), %term, "replicas were told to stop receiving");
                 report::states(group.group(), &states);
                 false
             }
             Step::Demote(term, old) => {
-                let states = self.links.some(this, &[old], &Own::Demote(term.0)).await;
+                let states = self
+                    .links
+                    .some(this, &[old], &ProxyStatement::Demote(term.0))
+                    .await;
                 tracing::warn!(group = %group.group(), %term, "the old primary was told to stop leading");
                 report::states(group.group(), &states);
                 self.told_to_stop.get_or_insert_with(clock::now);
@@ -310,7 +316,7 @@
     while clock::now() < until {
         newcomers.stop(this, links).await;
         let states = links
-            .some(this, std::slice::from_ref(next), &Own::Status)
+            .some(this, std::slice::from_ref(next), &ProxyStatement::Status)
             .await;
         let leads = |s: &State| s.role == Role::Primary && s.term >= newcomers.term;
         let leads = states.get(next).is_some_and(leads);
--- a/crates/front/src/metrics.rs
+++ b/crates/front/src/metrics.rs
@@ -2,7 +2,7 @@
 
 use model::statement::Code;
 use model::unit::Span;
-use platform::line::{self, Own};
+use platform::line::{self, ProxyStatement};
 use policy::order_tracker::Purpose;
 use policy::takeover::{Cause, OrderResponse, WaitCause};
 use prometheus::{
@@ -195,7 +195,7 @@
     }
 
     /// An instance was told something. Questions are not counted.
-    pub fn told(&self, own: &Own<'_>, answered: bool) {
+    pub fn told(&self, own: &ProxyStatement<'_>, answered: bool) {
         if let Some(order) = order_name(own) {
             let labels = [order, if answered { "answered" } else { "none" }];
             let told = &self.coordinator.replica_orders;
@@ -271,16 +271,16 @@
     }
 }
 
-const fn order_name(own: &Own<'_>) -> Option<&'static str> {
+const fn order_name(own: &ProxyStatement<'_>) -> Option<&'static str> {
     match own {
-        Own::Pause(_) => Some("pause"),
-        Own::Demote(_) => Some("demote"),
-        Own::Resume => Some("resume"),
-        Own::Begin(..)
-        | Own::Rollback
-        | Own::Reset
-        | Own::Set(..)
-        | Own::Prepare(..)
-        | Own::Status => None,
+        ProxyStatement::Pause(_) => Some("pause"),
+        ProxyStatement::Demote(_) => Some("demote"),
+        ProxyStatement::Resume => Some("resume"),
+        ProxyStatement::Begin(..)
+        | ProxyStatement::Rollback
+        | ProxyStatement::Reset
+        | ProxyStatement::Set(..)
+        | ProxyStatement::Prepare(..)
+        | ProxyStatement::Status => None,
     }
 }
