--- a/crates/store/src/client.rs
+++ b/crates/store/src/client.rs
@@ -148,7 +148,8 @@
     ///
     /// When all proxies of a region start, each requests everything over one narrow link.
     /// With a limit on the whole response, none would complete in time: each would be
-    /// discarded and requested again, and the link would stay full of expired responses.
+    /// discarded and requested again, and the link would stay full of responses that nobody
+    /// waits for.
     pub async fn exchange(
         &self,
         kind: Kind,
