--- a/crates/peer/src/client.rs
+++ b/crates/peer/src/client.rs
@@ -14,36 +14,36 @@
 use crate::codec::{self, CodecError};
 use crate::server;
 
-/// Header with sender's clock, nonce and proof, separated by dots.
-pub const PROOF: &str = "x-pomelo-proof";
+/// Header with the sender's time, nonce and MAC, separated by dots; in a response only the MAC.
+pub const SIGNATURE: &str = "x-pomelo-proof";
 
-/// Why a peer gave no usable answer.
+/// Why a peer gave no usable response.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The peer refused the connection or could not be reached: it took no request.
+    /// No connection could be established: the peer received no request.
     #[error("the peer is unreachable: {0}")]
     Unreachable(#[source] cyper::Error),
     /// The connection failed after the request may have arrived.
     #[error("the connection to the peer failed: {0}")]
     Connection(#[source] cyper::Error),
-    /// No answer within the time limit.
-    #[error("the peer did not answer within {0:?}")]
+    /// No response within the time limit.
+    #[error("the peer did not respond within {0:?}")]
     Timeout(Duration),
-    /// The peer does not accept our proof.
-    #[error("the peer refused our proof")]
-    Refused,
-    /// Another status than 200.
-    #[error("the peer answered HTTP status {0}")]
+    /// The peer did not accept the request as authentic.
+    #[error("the peer rejected the request's signature")]
+    Rejected,
+    /// An HTTP status other than 200.
+    #[error("the peer responded with HTTP status {0}")]
     Status(u16),
-    /// The answer does not come from a holder of the secret.
-    #[error("the peer's answer is not trusted: {0}")]
+    /// The response does not come from a holder of the secret.
+    #[error("the peer's response is not trusted: {0}")]
     Auth(#[from] AuthError),
-    /// A message cannot be written or read.
+    /// A message cannot be encoded or decoded.
     #[error(transparent)]
     Codec(#[from] CodecError),
 }
 
-/// Sends requests to peers, cheap to clone within its runtime.
+/// Client for requests to peers; cheap to clone within its runtime.
 #[derive(Clone)]
 pub struct Client {
     inner: Rc<Inner>,
@@ -52,24 +52,24 @@
 struct Inner {
     key: Key,
     http: RefCell<cyper::Client>,
-    /// Bytes of bodies and headers sent and received, for the control budget.
+    /// Bytes of bodies and headers sent and received, for the budget of control traffic.
     traffic: server::Traffic,
 }
 
 impl Client {
-    /// A client that proves itself by `key`.
+    /// Creates a client that signs its requests with `key`.
     pub fn new(key: Key) -> Result<Self, Error> {
         Self::with_traffic(key, server::Traffic::default())
     }
 
-    /// A client that counts its bytes in `traffic`.
+    /// Creates a client that counts its bytes in `traffic`.
     pub fn with_traffic(key: Key, traffic: server::Traffic) -> Result<Self, Error> {
         let http = RefCell::new(http_client()?);
         let inner = Rc::new(Inner { key, http, traffic });
         Ok(Self { inner })
     }
 
-    /// Sends a request and waits at most `limit` for the answer.
+    /// Sends a request and waits at most `limit` for the response.
     pub async fn call<Req, Res>(
         &self,
         peer: SocketAddr,
@@ -85,10 +85,10 @@
         let body = codec::encode(req)?;
         let exchange = self.exchange(peer, path, body, cx);
         match compio::time::timeout(limit, exchange).await {
-            Ok(answer) => Ok(codec::decode(&answer?)?),
+            Ok(response) => Ok(codec::decode(&response?)?),
             Err(_) => {
-                // A silent connection would silence every later request that the pool
-                // puts on it; a new client has an empty pool.
+                // Every later request that reuses an unresponsive connection would time
+                // out as well. A new client starts with an empty pool.
                 *self.inner.http.borrow_mut() = http_client()?;
                 Err(Error::Timeout(limit))
             }
@@ -110,13 +110,13 @@
             nonce: Nonce(rand::random::<[u8; NONCE_LEN]>()),
             trace: &trace,
         };
-        let proof = self.proof(&envelope, &body);
+        let signature = self.signature(&envelope, &body);
         self.inner
             .traffic
-            .add_sent(body.len() + path.len() + proof.len() + trace.len());
+            .add_sent(body.len() + path.len() + signature.len() + trace.len());
         let http = self.inner.http.borrow().clone();
         let request = http.post(format!("http://{peer}{path}"));
-        let request = request.and_then(|r| r.header(PROOF, proof));
+        let request = request.and_then(|r| r.header(SIGNATURE, signature));
         let mut request = request.map_err(Error::Connection)?;
         if !trace.is_empty() {
             let traced = request.header(trace::HEADER, &trace);
@@ -126,7 +126,7 @@
         self.read(envelope.nonce, response).await
     }
 
-    fn proof(&self, envelope: &Envelope<'_>, body: &[u8]) -> String {
+    fn signature(&self, envelope: &Envelope<'_>, body: &[u8]) -> String {
         let tag = self.inner.key.sign_request(envelope, body);
         let nonce = STANDARD_NO_PAD.encode(envelope.nonce.0);
         let tag = STANDARD_NO_PAD.encode(tag);
@@ -136,14 +136,17 @@
     async fn read(&self, nonce: Nonce, response: cyper::Response) -> Result<Vec<u8>, Error> {
         let status = response.status().as_u16();
         if status == http::StatusCode::UNAUTHORIZED.as_u16() {
-            return Err(Error::Refused);
+            return Err(Error::Rejected);
         }
-        let tag = response.headers().get(PROOF).and_then(|v| v.to_str().ok());
+        let tag = response
+            .headers()
+            .get(SIGNATURE)
+            .and_then(|v| v.to_str().ok());
         let tag = tag.and_then(|tag| STANDARD_NO_PAD.decode(tag).ok());
         let body = response.bytes().await.map_err(Error::Connection)?;
         self.inner.traffic.add_received(body.len());
         let tag = tag.ok_or(AuthError::Missing)?;
-        self.inner.key.verify_answer(nonce, status, &body, &tag)?;
+        self.inner.key.verify_response(nonce, status, &body, &tag)?;
         match status {
             200 => Ok(body.to_vec()),
             status => Err(Error::Status(status)),
--- a/crates/peer/tests/exchange.rs
+++ b/crates/peer/tests/exchange.rs
@@ -1,4 +1,4 @@
-//! Requests over a socket.
+//! Tests of requests and responses over a socket.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -23,9 +23,9 @@
     added: u32,
 }
 
-/// Serves one path and answers each request by its own text and trace.
+/// Serves one path and responds to each request with its own text and trace.
 async fn serve(key: Key) -> SocketAddr {
-    let (tx, rx) = flume::bounded::<Call<Old, New>>(peer::server::QUEUE);
+    let (tx, rx) = flume::bounded::<Call<Old, New>>(peer::server::QUEUE_CAPACITY);
     let routes = Routes::new(key, Traffic::default()).route(PATH, tx);
     let listener = compio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
@@ -43,7 +43,7 @@
 }
 
 #[compio::test]
-async fn versions_that_differ_by_a_field_understand_each_other() {
+async fn versions_that_differ_by_a_field_interoperate() {
     let key = Key::new(b"fleet");
     let address = serve(key.clone()).await;
     let client = Client::new(key).unwrap();
@@ -51,31 +51,31 @@
         text: "hello".into(),
         added: 7,
     };
-    let answer: Old = client.call(address, PATH, &req, LIMIT, None).await.unwrap();
-    assert_eq!(answer.text, "hello");
+    let response: Old = client.call(address, PATH, &req, LIMIT, None).await.unwrap();
+    assert_eq!(response.text, "hello");
 }
 
 #[compio::test]
-async fn the_trace_context_travels() {
+async fn the_trace_context_reaches_the_peer() {
     let key = Key::new(b"fleet");
     let address = serve(key.clone()).await;
     let client = Client::new(key).unwrap();
     let cx = Context::new(5, 6, true);
     let req = Old::default();
-    let answer = client.call(address, PATH, &req, LIMIT, Some(cx)).await;
-    let answer: New = answer.unwrap();
-    assert_eq!(answer.text, cx.to_string());
+    let response = client.call(address, PATH, &req, LIMIT, Some(cx)).await;
+    let response: New = response.unwrap();
+    assert_eq!(response.text, cx.to_string());
 }
 
-/// A process without the secret asks a proxy for its configuration, which holds the
-/// backend servers' passwords: it gets 401 and an empty body.
+/// A process without the secret requests a proxy's configuration, which contains the
+/// backend servers' passwords: it receives status 401 and an empty body.
 #[compio::test]
 async fn a_peer_without_the_secret_gets_nothing() {
     let address = serve(Key::new(b"fleet")).await;
     let client = Client::new(Key::new(b"guess")).unwrap();
     let req = Old::default();
-    let answer = client.call::<_, New>(address, PATH, &req, LIMIT, None);
-    assert!(matches!(answer.await, Err(Error::Refused)));
+    let result = client.call::<_, New>(address, PATH, &req, LIMIT, None);
+    assert!(matches!(result.await, Err(Error::Rejected)));
 
     let bare = cyper::Client::new().unwrap();
     let response = bare.post(format!("http://{address}{PATH}")).unwrap();
@@ -84,10 +84,10 @@
     assert!(response.bytes().await.unwrap().is_empty());
 }
 
-/// A process at a recycled address answers in a peer's place. Without the secret it
-/// cannot prove the answer, and the answer is not used.
+/// Another process responds at an address that a peer used before. Without the secret it
+/// cannot sign the response, and the client rejects it.
 #[compio::test]
-async fn an_answer_without_proof_is_not_used() {
+async fn a_response_without_a_signature_is_rejected() {
     let handler = || async { peer::codec::encode(&Old::default()).unwrap() };
     let router = axum::Router::new().route(PATH, axum::routing::post(handler));
     let listener = compio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -95,6 +95,6 @@
     compio::runtime::spawn(async move { cyper_axum::serve(listener, router).await }).detach();
     let client = Client::new(Key::new(b"fleet")).unwrap();
     let req = Old::default();
-    let answer = client.call::<_, New>(address, PATH, &req, LIMIT, None);
-    assert!(matches!(answer.await, Err(Error::Auth(_))));
+    let result = client.call::<_, New>(address, PATH, &req, LIMIT, None);
+    assert!(matches!(result.await, Err(Error::Auth(_))));
 }
--- a/crates/store/tests/client.rs
+++ b/crates/store/tests/client.rs
@@ -1,4 +1,4 @@
-//! The client against the platform's stand-in.
+//! Tests of the client against the platform's stand-in.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 
 const KEY: &str = "pomeloscale/config";
 const PREFIX: &str = "pomeloscale/";
-const PATIENCE: Duration = Duration::from_secs(5);
+const TIMEOUT: Duration = Duration::from_secs(5);
 
 fn client(fleet: &Fleet) -> Client {
     let urls = fleet.addresses().platform.values();
@@ -41,10 +41,10 @@
     assert!(matches!(third, Outcome::Applied(later) if later > revision));
 }
 
-/// An operator applies a change; the store carries it out and its answer is lost. A
-/// second try that took its own value for another's would report a conflict.
+/// The store applies an operator's change, but its response is lost. A retry that takes its
+/// own value for another writer's would report a conflict.
 #[compio::test]
-async fn a_swap_whose_answer_was_lost_is_applied_once() {
+async fn a_swap_whose_response_was_lost_is_applied_once() {
     let fleet = Fleet::start(Spec::small()).unwrap();
     let client = client(&fleet);
     fleet.control().store(Fault::LoseAnswers(1)).unwrap();
@@ -57,20 +57,20 @@
 }
 
 #[compio::test]
-async fn an_outage_is_told_apart_from_a_refusal() {
+async fn an_outage_is_distinguished_from_a_refused_connection() {
     let fleet = Fleet::start(Spec::small()).unwrap();
     let client = client(&fleet);
     fleet.control().store(Fault::Silent).unwrap();
     let outcome = client.swap(KEY, Revision(0), b"x".to_vec()).await.unwrap();
     assert_eq!(outcome, Outcome::Unknown);
 
-    let nobody = Client::new(vec!["http://127.0.0.1:9".into()]).unwrap();
-    let outcome = nobody.swap(KEY, Revision(0), b"x".to_vec()).await;
+    let unreachable = Client::new(vec!["http://127.0.0.1:9".into()]).unwrap();
+    let outcome = unreachable.swap(KEY, Revision(0), b"x".to_vec()).await;
     assert!(outcome.expect_err("nobody listens").had_no_effect());
 }
 
 #[compio::test]
-async fn a_watch_tells_changes_since_a_revision() {
+async fn a_watch_reports_changes_since_a_revision() {
     let fleet = Fleet::start(Spec::small()).unwrap();
     let client = client(&fleet);
     let first = client.put(KEY, b"one".to_vec()).await.unwrap();
@@ -78,7 +78,7 @@
     let mut watch = client.watch(PREFIX, first.next()).await.unwrap();
     let mut values = Vec::new();
     while values.len() < 2 {
-        if let Some(batch) = watch.next(PATIENCE).await.unwrap() {
+        if let Some(batch) = watch.next(TIMEOUT).await.unwrap() {
             for change in batch.changes {
                 let Change::Put(record) = change else {
                     panic!("nothing was deleted");
@@ -95,7 +95,7 @@
 }
 
 #[compio::test]
-async fn a_lease_is_granted_renewed_and_given_back() {
+async fn a_lease_is_granted_renewed_and_revoked() {
     let fleet = Fleet::start(Spec::small()).unwrap();
     let client = client(&fleet);
     let lease = client.grant(Duration::from_secs(5)).await.unwrap();
@@ -105,11 +105,11 @@
 }
 
 #[compio::test]
-async fn calls_are_counted_by_what_they_are_made_for() {
+async fn calls_are_counted_by_purpose() {
     let fleet = Fleet::start(Spec::small()).unwrap();
     let client = client(&fleet);
-    let place = client.counted_for(Purpose::Registration);
-    place.grant(Duration::from_secs(5)).await.unwrap();
+    let registration = client.counted_for(Purpose::Registration);
+    registration.grant(Duration::from_secs(5)).await.unwrap();
     client.put(KEY, b"one".to_vec()).await.unwrap();
     let counted: Vec<_> = client
         .calls()
