--- a/crates/front/src/coordinator.rs
+++ b/crates/front/src/coordinator.rs
@@ -1,9 +1,9 @@
 //! Changes of primary, by the proxy that holds the duty.
 
-mod links;
-mod newcomers;
-mod noting;
+mod change_intent;
+mod new_instances;
 mod order;
+mod queries;
 mod report;
 mod resume;
 mod takeover;
@@ -23,11 +23,11 @@
 use store::error::Error;
 
 use crate::clock;
-use crate::concern::Concern;
 use crate::cx::Cx;
 use crate::directory::Directory;
 use crate::group;
-use crate::member::Member;
+use crate::health::Concern;
+use crate::registration::Member;
 
 /// Longest time between two looks; changes in the store cause a look at once.
 const LOOK: Span = Span::from_millis(200);
--- a/crates/front/src/coordinator/newcomers.rs
+++ b/crates/front/src/coordinator/new_instances.rs
@@ -13,7 +13,7 @@
 use model::position::Term;
 use platform::line::Own;
 
-use super::links::Links;
+use super::queries::Links;
 use super::{Coordinator, PAUSE, report};
 
 /// A start of an instance.
--- a/crates/front/src/coordinator/order.rs
+++ b/crates/front/src/coordinator/order.rs
@@ -11,7 +11,7 @@
 use policy::takeover::OrderResponse;
 
 use super::Coordinator;
-use super::links::Links;
+use super::queries::Links;
 use crate::clock;
 use crate::directory::Call;
 
--- a/crates/front/src/coordinator/links.rs
+++ b/crates/front/src/coordinator/queries.rs
@@ -13,7 +13,7 @@
 use policy::takeover::{InstanceView, State};
 
 use super::Coordinator;
-use super::newcomers::{self, Start};
+use super::new_instances::{self, Start};
 use crate::clock;
 use crate::conn::ConnError;
 use crate::group;
@@ -197,7 +197,9 @@
         let found = known
             .iter()
             .filter(|(entry, listed)| *listed || states.contains_key(&entry.id));
-        self.found = found.map(|(entry, _)| newcomers::start(entry)).collect();
+        self.found = found
+            .map(|(entry, _)| new_instances::start(entry))
+            .collect();
         this.note_look(self.group.group(), &members);
         members
     }
--- a/crates/front/src/coordinator/resume.rs
+++ b/crates/front/src/coordinator/resume.rs
@@ -5,7 +5,7 @@
 use platform::line::Own;
 use policy::takeover::{self, InstanceView, Role};
 
-use super::links::Links;
+use super::queries::Links;
 use super::report;
 use super::{Coordinator, order};
 use crate::directory::Call;
--- a/crates/front/src/coordinator/takeover.rs
+++ b/crates/front/src/coordinator/takeover.rs
@@ -13,9 +13,9 @@
     self, Cause, InstanceView, OrderResponse, Role, State, Step, Survey, WaitCause,
 };
 
-use super::links::Links;
-use super::newcomers::Newcomers;
-use super::noting::Noting;
+use super::change_intent::Noting;
+use super::new_instances::Newcomers;
+use super::queries::Links;
 use super::report;
 use super::{Coordinator, PAUSE, order, over, resume};
 use crate::metrics::Outcome;
--- a/crates/front/src/cx.rs
+++ b/crates/front/src/cx.rs
@@ -8,14 +8,14 @@
 use model::id::GroupId;
 use model::route::Routes;
 
-use crate::changes::Changes;
-use crate::concern;
+use crate::distance::Ways;
 use crate::feed::Feed;
 use crate::group;
+use crate::health;
 use crate::lend::Roads;
 use crate::logs;
 use crate::metrics::Metrics;
-use crate::place::Ways;
+use crate::pending_changes::Changes;
 use crate::relay;
 use crate::stop::Stop;
 
@@ -31,7 +31,7 @@
     /// What this proxy knows of the store, for its neighbours.
     pub feed: Feed,
     /// What proxies find wrong with primaries.
-    pub concerns: concern::Board,
+    pub concerns: health::Board,
     /// Tells whether changes of primary are under way.
     pub changes: Changes,
     ways: Ways,
@@ -53,7 +53,7 @@
             relay: relay::Client::default(),
             sessions: Cell::new(0),
             feed: Feed::default(),
-            concerns: concern::Board::default(),
+            concerns: health::Board::default(),
             changes: Changes::default(),
             ways,
             served_lines: logs::Budget::default(),
--- a/crates/front/src/directory.rs
+++ b/crates/front/src/directory.rs
@@ -22,12 +22,12 @@
 use store::kv::{Outcome, Record};
 use store::mirror::Update;
 
-use crate::changes::{self, Changes};
 use crate::clock;
 use crate::cx::Cx;
 use crate::feed::Touch;
 use crate::group::Shares;
 use crate::lend::Carrier;
+use crate::pending_changes::{self, Changes};
 pub use keys::{Announced, COORDINATOR, DOUBTS, PROXIES, noted};
 pub use notes::Call;
 use state::Placement;
@@ -299,7 +299,7 @@
 
     /// Asks the neighbours that read the store which groups have a change of primary under way;
     /// `None` if this proxy is to ask the store.
-    pub async fn hear_changes(&self, within: Span) -> Option<changes::Noted> {
+    pub async fn hear_changes(&self, within: Span) -> Option<pending_changes::Noted> {
         while let Some((reader, address)) = self.reader(&self.asked) {
             let noted = self.cx.relay.changes(&reader, address, within).await;
             if let Some(noted) = noted {
--- a/crates/front/src/group.rs
+++ b/crates/front/src/group.rs
@@ -19,12 +19,12 @@
 use policy::proof::Proof;
 use policy::replica_ack::Replica;
 
-use crate::changes::Changes;
 use crate::clock;
-use crate::concern::{self, Concern};
 use crate::conn::{Conn, ConnError};
+use crate::distance::Ways;
+use crate::health::{self, Concern};
 use crate::metrics::Metrics;
-use crate::place::Ways;
+use crate::pending_changes::Changes;
 pub use handle::Handle;
 pub use lent::Lent;
 use receipt::Prover;
@@ -119,7 +119,7 @@
     /// Metrics of the process.
     pub metrics: Metrics,
     /// Where the tasks put up what is wrong with the group.
-    pub board: concern::Board,
+    pub board: health::Board,
     /// Tells whether a change of primary is under way.
     pub changes: Changes,
 }
@@ -134,7 +134,7 @@
     shared: bool,
     ways: Ways,
     metrics: Metrics,
-    board: concern::Board,
+    board: health::Board,
     changes: Changes,
     /// When to see next to connections that count.
     prepare_at: Time,
--- a/crates/front/src/group/receipt.rs
+++ b/crates/front/src/group/receipt.rs
@@ -9,8 +9,8 @@
 use policy::replica_ack::{self, PendingAcks, Replica, Unresponsive, Write};
 
 use super::{Handle, Lent};
-use crate::changes::Changes;
 use crate::clock;
+use crate::pending_changes::Changes;
 
 /// Longest wait for a replica's answer: a round trip between regions, and a slot that comes
 /// free.
--- a/crates/front/src/lib.rs
+++ b/crates/front/src/lib.rs
@@ -4,23 +4,23 @@
 //! directory follows the platform's store; one proxy at a time coordinates changes of
 //! primary. Decisions come from the `policy` crate.
 
-pub mod changes;
 pub mod cli;
 pub mod clock;
-pub mod concern;
 pub mod config;
 pub mod conn;
 pub mod coordinator;
 pub mod cx;
 pub mod directory;
+pub mod distance;
 pub mod feed;
 pub mod group;
+pub mod health;
 pub mod lend;
 pub mod logs;
-pub mod member;
 pub mod metrics;
 pub mod pages;
-pub mod place;
+pub mod pending_changes;
+pub mod registration;
 pub mod relay;
 pub mod run;
 pub mod session;
--- a/crates/front/src/member.rs
+++ b/crates/front/src/registration.rs
@@ -1,7 +1,7 @@
 //! This proxy's place in the store: its lease, its key, its doubts, and the duty to
 //! coordinate changes of primary.
 
-mod duty;
+mod coordinator_lease;
 mod lease;
 mod report;
 
@@ -22,7 +22,7 @@
 use crate::clock;
 use crate::cx::Cx;
 use crate::directory::{Announced, DOUBTS, Directory, PROXIES};
-use duty::Duty;
+use coordinator_lease::Duty;
 use lease::Lease;
 
 /// Time after which a silent proxy loses its place; one that pauses for less keeps it.
--- a/crates/front/src/member/report.rs
+++ b/crates/front/src/registration/report.rs
@@ -10,9 +10,9 @@
 use model::unit::Span;
 
 use crate::clock;
-use crate::concern::Concerns;
 use crate::cx::Cx;
 use crate::directory::Directory;
+use crate::health::Concerns;
 
 /// Pause between two looks at the concerns. A doubt takes 0.6 s to arise.
 const LOOK: Span = Span::from_millis(100);
--- a/crates/front/src/relay.rs
+++ b/crates/front/src/relay.rs
@@ -22,9 +22,9 @@
 use serde::{Deserialize, Serialize};
 
 use crate::clock;
-use crate::concern::Concerns;
 use crate::feed::Packed;
 use crate::group::Note;
+use crate::health::Concerns;
 
 pub use carrier::serve;
 pub use client::{Client, Miss, WayBack};
--- a/crates/front/src/relay/client.rs
+++ b/crates/front/src/relay/client.rs
@@ -17,10 +17,10 @@
 
 use super::{FromCarrier, HEARD, Returned, ToCarrier, decode, encode, to_wire};
 use crate::clock;
-use crate::concern::Concerns;
 use crate::conn::{Conn, ConnError};
 use crate::feed::PackError;
 use crate::group::{Lent, Note};
+use crate::health::Concerns;
 
 /// Connections to one carrier that stay open while no loan uses them.
 const MAX_IDLE: usize = 8;
--- a/crates/front/src/run.rs
+++ b/crates/front/src/run.rs
@@ -17,9 +17,9 @@
 use crate::coordinator::Coordinator;
 use crate::cx::Cx;
 use crate::directory::{Announced, Directory};
-use crate::member::Member;
+use crate::distance::Ways;
 use crate::metrics::{self, Metrics};
-use crate::place::Ways;
+use crate::registration::Member;
 use crate::stop::{self, Phase, Stopper};
 use crate::{clock, pages, relay, session};
 
--- a/crates/front/tests/changes.rs
+++ b/crates/front/tests/pending_changes.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use front::changes::Changes;
 use front::clock;
+use front::pending_changes::Changes;
 use indexmap::IndexSet;
 use model::id::GroupId;
 use model::unit::{Span, Time};
--- a/crates/front/tests/report.rs
+++ b/crates/front/tests/report.rs
@@ -4,10 +4,10 @@
 use std::rc::Rc;
 
 use compio::net::TcpListener;
-use front::concern::{Board, Concern, Concerns};
 use front::cx::Cx;
+use front::distance::Ways;
+use front::health::{Board, Concern, Concerns};
 use front::metrics::Metrics;
-use front::place::Ways;
 use front::relay::{self, Client};
 use front::{clock, stop};
 use indexmap::IndexMap;
