--- a/crates/front/src/coordinator.rs
+++ b/crates/front/src/coordinator.rs
@@ -26,8 +26,8 @@
 use crate::cx::Cx;
 use crate::directory::Directory;
 use crate::group;
-use crate::health::Concern;
-use crate::registration::Member;
+use crate::health::GroupReport;
+use crate::registration::Registration;
 
 /// Longest time between two looks; changes in the store cause a look at once.
 const LOOK: Span = Span::from_millis(200);
@@ -53,9 +53,9 @@
 
 /// Before which time the primary of a group is not changed because its replicas lag.
 #[derive(Clone, Default)]
-pub struct LagHandled(Rc<RefCell<IndexMap<GroupId, Time>>>);
+pub struct LagBackoff(Rc<RefCell<IndexMap<GroupId, Time>>>);
 
-impl LagHandled {
+impl LagBackoff {
     fn due(&self, group: &GroupId) -> bool {
         let next = self.0.borrow().get(group).copied();
         next.is_none_or(|next| clock::now() >= next)
@@ -74,9 +74,9 @@
 
 /// The instance of each group that was made primary last, and when.
 #[derive(Clone, Default)]
-pub struct Named(Rc<RefCell<IndexMap<GroupId, (InstanceId, Time)>>>);
+pub struct RecentPromotions(Rc<RefCell<IndexMap<GroupId, (InstanceId, Time)>>>);
 
-impl Named {
+impl RecentPromotions {
     fn note(&self, group: &GroupId, instance: &InstanceId) {
         let named = (instance.clone(), clock::now());
         self.0.borrow_mut().insert(group.clone(), named);
@@ -91,9 +91,9 @@
 
 /// Which primary of each group is accounted for by this proxy's orders.
 #[derive(Clone, Default)]
-pub struct Accounts(Rc<RefCell<IndexMap<GroupId, OrderTracker>>>);
+pub struct OrderTrackers(Rc<RefCell<IndexMap<GroupId, OrderTracker>>>);
 
-impl Accounts {
+impl OrderTrackers {
     fn with<T>(&self, group: &GroupId, f: impl FnOnce(&mut OrderTracker) -> T) -> T {
         f(self.0.borrow_mut().entry(group.clone()).or_default())
     }
@@ -107,19 +107,19 @@
     /// What the store tells.
     pub directory: Directory,
     /// This proxy's standing.
-    pub member: Rc<Member>,
+    pub registration: Rc<Registration>,
     /// The platform's store.
     pub store: Client,
     /// Takes orders.
     pub orders: Client,
     /// The token of the last order.
-    pub last: Rc<Cell<Token>>,
+    pub last_token: Rc<Cell<Token>>,
     /// Who was made primary last.
-    pub named: Named,
+    pub promotions: RecentPromotions,
     /// Changes because of lagging replicas.
-    pub lag_handled: LagHandled,
+    pub lag_backoff: LagBackoff,
     /// Primaries that its orders account for.
-    pub accounts: Accounts,
+    pub order_trackers: OrderTrackers,
 }
 
 /// Groups that a task is at work on; one at a time for each.
@@ -150,7 +150,7 @@
         loop {
             // Nobody else sends, so an error is only the end of the wait.
             let _ = compio::time::timeout(LOOK.as_duration(), changed.recv_async()).await;
-            let Some(duty) = self.member.duty(&self.directory) else {
+            let Some(duty) = self.registration.coordinator_epoch(&self.directory) else {
                 continue;
             };
             let mend = clock::now() >= mend_at;
@@ -183,7 +183,7 @@
     /// Whether this proxy still holds the duty that it took at this revision. What was found
     /// out under an earlier one may have been changed by another coordinator since.
     fn holds(&self, duty: Revision) -> bool {
-        self.member.duty(&self.directory) == Some(duty)
+        self.registration.coordinator_epoch(&self.directory) == Some(duty)
     }
 
     /// A token for the next order, higher than all before: an order that is carried out
@@ -192,8 +192,8 @@
         if !self.holds(duty) {
             return None;
         }
-        let token = Token::first(duty.0).max(self.last.get().next());
-        self.last.set(token);
+        let token = Token::first(duty.0).max(self.last_token.get().next());
+        self.last_token.set(token);
         Some(token)
     }
 
@@ -205,12 +205,12 @@
         instance: &InstanceId,
         token: Token,
     ) -> Result<OrderResponse, Error> {
-        let (holder, target) = (&self.member.id, (group, instance));
+        let (holder, target) = (&self.registration.id, (group, instance));
         let answer = platform::order::promote(&self.orders, holder, token, target, ORDER).await;
         let told = answer.as_ref().ok().copied();
         self.cx.metrics.ordered(purpose, told);
         if matches!(told, None | Some(OrderResponse::Accepted)) {
-            self.accounts
+            self.order_trackers
                 .with(group, |e| e.record_order(purpose, instance));
         }
         answer
@@ -218,11 +218,13 @@
 
     /// Counts a primary that this proxy's last order does not account for.
     fn note_look(&self, group: &GroupId, members: &[policy::takeover::InstanceView]) {
-        let Some(duty) = self.member.duty(&self.directory) else {
+        let Some(duty) = self.registration.coordinator_epoch(&self.directory) else {
             return;
         };
         let holder = Token::first(duty.0);
-        let late = self.accounts.with(group, |e| e.observe(holder, members));
+        let late = self
+            .order_trackers
+            .with(group, |e| e.observe(holder, members));
         if let Some(UnexpectedPrimary {
             instance,
             last_purpose: after,
@@ -237,7 +239,7 @@
     async fn trigger(&self, group: &group::Handle) -> Option<(InstanceId, Cause)> {
         let view = group.view().await;
         let id = group.group();
-        let told = self.cx.concerns.about(id, clock::now());
+        let told = self.cx.reports.for_group(id, clock::now());
         if let Some(doubted) = self.doubted(id, &told, view.primary.as_ref()) {
             return Some((doubted, Cause::Doubted));
         }
@@ -261,18 +263,18 @@
     fn doubted(
         &self,
         group: &GroupId,
-        told: &[(ProxyId, Concern)],
+        told: &[(ProxyId, GroupReport)],
         primary: Option<&InstanceId>,
     ) -> Option<InstanceId> {
         let reported = told.iter().filter_map(|(proxy, concern)| {
-            let (instance, _) = concern.doubt.as_ref()?;
+            let (instance, _) = concern.suspicion.as_ref()?;
             Some((proxy.clone(), instance.clone()))
         });
         self.directory.with(|state| {
             let doubts = Suspicions {
                 by_proxy: state.doubts(group).chain(reported).collect(),
                 primary: primary.cloned(),
-                recently_promoted: self.named.settling(group),
+                recently_promoted: self.promotions.settling(group),
                 holders: state.holders(group) as usize,
             };
             quorum::suspected(&doubts, |id| state.is_announced(id))
@@ -280,10 +282,10 @@
     }
 
     /// Whether enough proxies find that no replica holds what reads need.
-    fn lags(&self, group: &GroupId, told: &[(ProxyId, Concern)]) -> bool {
+    fn lags(&self, group: &GroupId, told: &[(ProxyId, GroupReport)]) -> bool {
         let lags = told.iter().filter(|(_, concern)| concern.lags).count();
         let holders = self.directory.with(|state| state.holders(group));
-        lags >= quorum::required(holders as usize) && self.lag_handled.due(group)
+        lags >= quorum::required(holders as usize) && self.lag_backoff.due(group)
     }
 }
 
--- a/crates/front/src/coordinator/takeover.rs
+++ b/crates/front/src/coordinator/takeover.rs
@@ -80,7 +80,7 @@
     tracing::info!(group = %id, took_ms, "a change of primary ends");
     this.cx.metrics.change_ended(cause, change.outcome);
     if cause == Cause::Lagging {
-        this.lag_handled.note(&id, change.led);
+        this.lag_backoff.note(&id, change.led);
     }
     let mut links = change.links;
     resume::resume(this, &mut links).await;
@@ -219,10 +219,10 @@
         let needless = silent && complete && self.cause == Cause::Doubted && !resume_pending;
         let old = self.old.clone();
         let asked = |entry: &Entry| !(needless && entry.id == old);
-        let ways = this.cx.ways();
+        let distances = this.cx.distances();
         let near = |entry: &Entry| {
             let home = home.as_ref();
-            home.is_none_or(|home| ways.same_region(home, &entry.data_centre))
+            home.is_none_or(|home| distances.same_region(home, &entry.data_centre))
         };
         self.links.look(this, asked, near).await
     }
@@ -269,7 +269,7 @@
         self.led = leads(this, &mut self.links, next, newcomers, until).await;
         if self.led {
             tracing::warn!(group = %group.group(), instance = %next, "the primary was replaced");
-            this.named.note(group.group(), next);
+            this.promotions.note(group.group(), next);
             group.expect_primary(next);
         }
         given.settle(this, group.group(), self.led).await;
--- a/crates/front/src/cx.rs
+++ b/crates/front/src/cx.rs
@@ -8,7 +8,7 @@
 use model::id::GroupId;
 use model::route::Routes;
 
-use crate::distance::Ways;
+use crate::distance::Distances;
 use crate::feed::Feed;
 use crate::group;
 use crate::health;
@@ -31,10 +31,10 @@
     /// What this proxy knows of the store, for its neighbours.
     pub feed: Feed,
     /// What proxies find wrong with primaries.
-    pub concerns: health::Board,
+    pub reports: health::ReportBoard,
     /// Tells whether changes of primary are under way.
     pub changes: Changes,
-    ways: Ways,
+    distances: Distances,
     /// Bounds the lines about served statements.
     pub served_lines: logs::Budget,
     /// Metrics of the process.
@@ -45,7 +45,7 @@
 
 impl Cx {
     /// A context without configuration.
-    pub fn new(ways: Ways, metrics: Metrics, stop: Stop) -> Self {
+    pub fn new(distances: Distances, metrics: Metrics, stop: Stop) -> Self {
         Self {
             routes: RefCell::default(),
             groups: RefCell::default(),
@@ -53,9 +53,9 @@
             relay: relay::Client::default(),
             sessions: Cell::new(0),
             feed: Feed::default(),
-            concerns: health::Board::default(),
+            reports: health::ReportBoard::default(),
             changes: Changes::default(),
-            ways,
+            distances,
             served_lines: logs::Budget::default(),
             metrics,
             stop,
@@ -73,8 +73,8 @@
     }
 
     /// How far data centres are apart.
-    pub fn ways(&self) -> &Ways {
-        &self.ways
+    pub fn distances(&self) -> &Distances {
+        &self.distances
     }
 
     /// The task of a group, if the group is known.
@@ -92,10 +92,10 @@
         if let Some(handle) = self.group(group) {
             return handle;
         }
-        let board = self.concerns.clone();
+        let board = self.reports.clone();
         let handle = group::spawn(group::Setup {
             group: group.clone(),
-            ways: self.ways.clone(),
+            distances: self.distances.clone(),
             metrics: self.metrics.clone(),
             board,
             changes: self.changes.clone(),
--- a/crates/front/src/directory.rs
+++ b/crates/front/src/directory.rs
@@ -299,7 +299,7 @@
 
     /// Asks the neighbours that read the store which groups have a change of primary under way;
     /// `None` if this proxy is to ask the store.
-    pub async fn hear_changes(&self, within: Span) -> Option<pending_changes::Noted> {
+    pub async fn hear_changes(&self, within: Span) -> Option<pending_changes::ChangingGroups> {
         while let Some((reader, address)) = self.reader(&self.asked) {
             let noted = self.cx.relay.changes(&reader, address, within).await;
             if let Some(noted) = noted {
--- a/crates/front/src/distance.rs
+++ b/crates/front/src/distance.rs
@@ -17,12 +17,12 @@
 
 /// Where this proxy runs, and which region each data centre belongs to.
 #[derive(Clone, Debug)]
-pub struct Ways {
+pub struct Distances {
     here: DataCentre,
     regions: Rc<IndexMap<DataCentre, Region>>,
 }
 
-impl Ways {
+impl Distances {
     /// The ways from a data centre.
     pub fn new(here: DataCentre, regions: IndexMap<DataCentre, Region>) -> Self {
         Self {
--- a/crates/front/src/group.rs
+++ b/crates/front/src/group.rs
@@ -21,8 +21,8 @@
 
 use crate::clock;
 use crate::conn::{Conn, ConnError};
-use crate::distance::Ways;
-use crate::health::{self, Concern};
+use crate::distance::Distances;
+use crate::health::{self, GroupReport};
 use crate::metrics::Metrics;
 use crate::pending_changes::Changes;
 pub use handle::Handle;
@@ -115,11 +115,11 @@
     /// Which group.
     pub group: GroupId,
     /// How far data centres are apart.
-    pub ways: Ways,
+    pub distances: Distances,
     /// Metrics of the process.
     pub metrics: Metrics,
     /// Where the tasks put up what is wrong with the group.
-    pub board: health::Board,
+    pub board: health::ReportBoard,
     /// Tells whether a change of primary is under way.
     pub changes: Changes,
 }
@@ -132,9 +132,9 @@
     own: bool,
     /// Whether it is known who holds connections.
     shared: bool,
-    ways: Ways,
+    distances: Distances,
     metrics: Metrics,
-    board: health::Board,
+    board: health::ReportBoard,
     changes: Changes,
     /// When to see next to connections that count.
     prepare_at: Time,
@@ -145,7 +145,7 @@
 pub fn spawn(setup: Setup) -> Handle {
     let Setup {
         group,
-        ways,
+        distances,
         metrics,
         board,
         changes,
@@ -158,7 +158,7 @@
         watch: PrimaryMonitor::default(),
         own: true,
         shared: false,
-        ways,
+        distances,
         metrics,
         board,
         changes: changes.clone(),
@@ -280,8 +280,8 @@
     }
 
     fn entries(&mut self, entries: &[Entry], since: Time, now: Time) -> Vec<Action<Conn, Reply>> {
-        let ways = self.ways.clone();
-        let way = |e: &Entry| ways.round_trip(&e.data_centre);
+        let distances = self.distances.clone();
+        let way = |e: &Entry| distances.round_trip(&e.data_centre);
         let actions = self.pool.set_entries_since(entries, way, since, now);
         self.watch.set_entries(entries);
         self.look(now);
@@ -338,7 +338,7 @@
         let others = self.pool.instances().filter(|i| Some(i.id()) != primary);
         let replica = |i: &pool::Instance<Conn>| Replica {
             id: i.id().clone(),
-            round_trip: self.ways.round_trip(&i.entry().data_centre),
+            round_trip: self.distances.round_trip(&i.entry().data_centre),
             leaving: i.entry().leaving,
         };
         others.map(replica).collect()
@@ -366,8 +366,8 @@
     /// Puts up what is wrong with the group, if anything is.
     fn voice(&self, now: Time) {
         let lags_for = self.pool.lagging_for(now);
-        let concern = Concern {
-            doubt: self.watch.suspicion(now),
+        let concern = GroupReport {
+            suspicion: self.watch.suspicion(now),
             lags: lags_for.is_some_and(|lags| lags >= LAGS),
         };
         self.board.set_own(&self.id, concern);
--- a/crates/front/src/group/receipt.rs
+++ b/crates/front/src/group/receipt.rs
@@ -181,7 +181,7 @@
             return;
         }
         self.check_at = now + CHECK_PAUSE;
-        let answered = self.changes.ask();
+        let answered = self.changes.query();
         let answered = answered.recv_async();
         if compio::time::timeout(CHECK, answered).await.is_err() {
             tracing::info!(group = %self.group, "the store has not told yet whether a change of primary is under way");
--- a/crates/front/src/health.rs
+++ b/crates/front/src/health.rs
@@ -22,37 +22,38 @@
 
 /// What a proxy finds wrong with a group.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Concern {
+pub struct GroupReport {
     /// The doubt about the primary.
-    pub doubt: Option<(InstanceId, Suspicion)>,
+    #[serde(rename = "doubt")]
+    pub suspicion: Option<(InstanceId, Suspicion)>,
     /// Whether no replica holds what reads need.
     pub lags: bool,
 }
 
 /// Concerns by group; groups without any are left out.
-pub type Concerns = IndexMap<GroupId, Concern>;
+pub type Reports = IndexMap<GroupId, GroupReport>;
 
 /// The concerns of this proxy, and those that others told it.
 #[derive(Clone, Default)]
-pub struct Board(Rc<Inner>);
+pub struct ReportBoard(Rc<Inner>);
 
 #[derive(Default)]
 struct Inner {
-    own: RefCell<Concerns>,
-    told: RefCell<IndexMap<ProxyId, (Concerns, Time)>>,
+    own: RefCell<Reports>,
+    told: RefCell<IndexMap<ProxyId, (Reports, Time)>>,
     /// Since when the coordinator has not heard this proxy's concerns.
     unheard_since: Cell<Option<Time>>,
 }
 
-impl Board {
+impl ReportBoard {
     /// Takes over this proxy's concern about a group.
-    pub fn set_own(&self, group: &GroupId, concern: Concern) {
+    pub fn set_own(&self, group: &GroupId, concern: GroupReport) {
         let mut own = self.0.own.borrow_mut();
         let known = own.get(group).cloned().unwrap_or_default();
         if known != concern {
             note(group, &known, &concern);
         }
-        if concern == Concern::default() {
+        if concern == GroupReport::default() {
             own.shift_remove(group);
         } else {
             own.insert(group.clone(), concern);
@@ -60,12 +61,12 @@
     }
 
     /// This proxy's concerns.
-    pub fn own(&self) -> Concerns {
+    pub fn own(&self) -> Reports {
         self.0.own.borrow().clone()
     }
 
     /// Notes whether the coordinator heard this proxy's concerns.
-    pub fn set_heard(&self, heard: bool, now: Time) {
+    pub fn set_delivered(&self, heard: bool, now: Time) {
         let since = self.0.unheard_since.get();
         let since = if heard { None } else { since.or(Some(now)) };
         self.0.unheard_since.set(since);
@@ -73,38 +74,37 @@
 
     /// This proxy's concerns, if the coordinator has not heard them for a while: they go
     /// through the store then.
-    pub fn unheard(&self, now: Time) -> Concerns {
+    pub fn undelivered(&self, now: Time) -> Reports {
         let since = self.0.unheard_since.get();
         if since.is_some_and(|at| now.since(at) >= UNHEARD) {
             self.own()
         } else {
-            Concerns::default()
+            Reports::default()
         }
     }
 
     /// Takes over another proxy's concerns, all of them.
-    pub fn told(&self, by: ProxyId, concerns: Concerns, now: Time) {
+    pub fn receive(&self, by: ProxyId, reports: Reports, now: Time) {
         let mut told = self.0.told.borrow_mut();
         let known = told.get(&by);
-        if known.is_none_or(|(known, _)| *known != concerns) {
-            note_report(&by, &concerns);
+        if known.is_none_or(|(known, _)| *known != reports) {
+            note_report(&by, &reports);
         }
-        told.insert(by, (concerns, now));
+        told.insert(by, (reports, now));
     }
 
     /// What proxies told about a group a short time ago.
-    pub fn about(&self, group: &GroupId, now: Time) -> Vec<(ProxyId, Concern)> {
+    pub fn for_group(&self, group: &GroupId, now: Time) -> Vec<(ProxyId, GroupReport)> {
         let told = self.0.told.borrow();
         let fresh = told.iter().filter(|(_, (_, at))| now.since(*at) <= KEPT);
-        let about = fresh.filter_map(|(proxy, (concerns, _))| {
-            Some((proxy.clone(), concerns.get(group)?.clone()))
-        });
+        let about = fresh
+            .filter_map(|(proxy, (reports, _))| Some((proxy.clone(), reports.get(group)?.clone())));
         about.collect()
     }
 }
 
-fn note(group: &GroupId, known: &Concern, new: &Concern) {
-    match (&known.doubt, &new.doubt) {
+fn note(group: &GroupId, known: &GroupReport, new: &GroupReport) {
+    match (&known.suspicion, &new.suspicion) {
         (None, None) => {}
         (Some((instance, _)), None) => {
             tracing::info!(%group, %instance, "this proxy no longer doubts the primary");
@@ -120,12 +120,12 @@
 }
 
 /// One line for each group that a proxy reports about.
-fn note_report(by: &ProxyId, concerns: &Concerns) {
-    if concerns.is_empty() {
+fn note_report(by: &ProxyId, reports: &Reports) {
+    if reports.is_empty() {
         tracing::info!(%by, "a proxy reports that nothing is wrong");
     }
-    for (group, concern) in concerns {
-        let doubt = concern.doubt.as_ref();
+    for (group, concern) in reports {
+        let doubt = concern.suspicion.as_ref();
         let (instance, cause) = doubt.map(|(id, cause)| (id, cause)).unzip();
         tracing::info!(
             %by,
--- a/crates/front/src/pages.rs
+++ b/crates/front/src/pages.rs
@@ -79,9 +79,9 @@
 
 async fn text(cx: &Cx, store: &Client) -> String {
     let (mut waiting, mut connections) = (0, 0);
-    let concerns = cx.concerns.own();
-    let doubts = concerns.values().filter(|c| c.doubt.is_some()).count();
-    let lagging = concerns.values().filter(|c| c.lags).count();
+    let reports = cx.reports.own();
+    let doubts = reports.values().filter(|c| c.suspicion.is_some()).count();
+    let lagging = reports.values().filter(|c| c.lags).count();
     for group in cx.groups() {
         let view = group.view().await;
         waiting += view.waiting as u64;
--- a/crates/front/src/pending_changes.rs
+++ b/crates/front/src/pending_changes.rs
@@ -31,10 +31,10 @@
 const REFRESH_PAUSE: Duration = Duration::from_millis(1_000);
 
 /// Groups with a change of primary under way.
-pub type Noted = Rc<IndexSet<GroupId>>;
+pub type ChangingGroups = Rc<IndexSet<GroupId>>;
 
 /// A question: who waits for its answer, and until when it may be put off.
-type Question = (flume::Sender<Noted>, Time);
+type Question = (flume::Sender<ChangingGroups>, Time);
 
 /// What the store told about changes of primary that are under way.
 ///
@@ -66,7 +66,7 @@
 }
 
 impl Queue {
-    fn add(&self, by: Time) -> flume::Receiver<Noted> {
+    fn add(&self, by: Time) -> flume::Receiver<ChangingGroups> {
         let (tx, rx) = flume::bounded(1);
         // The other end is kept beside this one.
         let _ = self.tx.send((tx, by));
@@ -75,7 +75,7 @@
 
     /// The questions that one answer will do for: it must be asked for after the last of them
     /// came.
-    async fn next(&self) -> Option<Vec<flume::Sender<Noted>>> {
+    async fn next(&self) -> Option<Vec<flume::Sender<ChangingGroups>>> {
         let (first, mut by) = self.rx.recv_async().await.ok()?;
         let mut asking = vec![first];
         loop {
@@ -130,13 +130,13 @@
 
     /// Takes over an answer of the store: it was asked at `asked` and held notes of changes of
     /// these groups.
-    pub fn take(&self, asked: Time, noted: &IndexSet<GroupId>) {
+    pub fn record_reply(&self, asked: Time, noted: &IndexSet<GroupId>) {
         self.told.borrow_mut().take(asked, noted);
     }
 
     /// Asks on behalf of a write that waits. The receiver is closed without an answer if
     /// nobody can be asked.
-    pub fn ask(&self) -> flume::Receiver<Noted> {
+    pub fn query(&self) -> flume::Receiver<ChangingGroups> {
         self.urgent.add(clock::now())
     }
 
@@ -147,7 +147,7 @@
     }
 
     /// Asks the store itself, after at most `within`.
-    pub fn ask_store(&self, within: Span) -> flume::Receiver<Noted> {
+    pub fn query_store(&self, within: Span) -> flume::Receiver<ChangingGroups> {
         self.store.add(clock::now() + within)
     }
 
@@ -156,7 +156,7 @@
     /// the time given.
     pub async fn serve<F>(self, client: Client, neighbour: impl Fn(Span) -> F)
     where
-        F: Future<Output = Option<Noted>>,
+        F: Future<Output = Option<ChangingGroups>>,
     {
         let client = client.counted_for(Purpose::Changes);
         futures_util::join!(
@@ -171,7 +171,7 @@
             let asked = clock::now();
             let noted = noted(client).await.map(Rc::new);
             if let Some(noted) = &noted {
-                self.take(asked, noted);
+                self.record_reply(asked, noted);
                 for tx in asking {
                     // One that no longer waits needs no answer.
                     let _ = tx.send(noted.clone());
@@ -185,7 +185,7 @@
 
     async fn serve_urgent<F>(&self, neighbour: impl Fn(Span) -> F)
     where
-        F: Future<Output = Option<Noted>>,
+        F: Future<Output = Option<ChangingGroups>>,
     {
         while let Some(asking) = self.urgent.next().await {
             let noted = self.answer(Span::from_millis(0), &neighbour).await;
@@ -199,7 +199,7 @@
 
     async fn serve_refresh<F>(&self, neighbour: impl Fn(Span) -> F)
     where
-        F: Future<Output = Option<Noted>>,
+        F: Future<Output = Option<ChangingGroups>>,
     {
         while self.refresh.next().await.is_some() {
             self.answer(GATHER, &neighbour).await;
@@ -208,17 +208,17 @@
     }
 
     /// Asks a neighbour, or else the store.
-    async fn answer<F>(&self, within: Span, neighbour: impl Fn(Span) -> F) -> Option<Noted>
+    async fn answer<F>(&self, within: Span, neighbour: impl Fn(Span) -> F) -> Option<ChangingGroups>
     where
-        F: Future<Output = Option<Noted>>,
+        F: Future<Output = Option<ChangingGroups>>,
     {
         // The store is asked later than this, so an answer to the neighbour has this date.
         let asked = clock::now();
         if let Some(noted) = neighbour(within).await {
-            self.take(asked, &noted);
+            self.record_reply(asked, &noted);
             return Some(noted);
         }
-        self.ask_store(within).recv_async().await.ok()
+        self.query_store(within).recv_async().await.ok()
     }
 }
 
--- a/crates/front/src/registration.rs
+++ b/crates/front/src/registration.rs
@@ -35,7 +35,7 @@
 const LOOK: Span = Span::from_millis(100);
 
 /// This proxy's standing.
-pub struct Member {
+pub struct Registration {
     /// Its name.
     pub id: ProxyId,
     announced_as: Announced,
@@ -48,7 +48,7 @@
     left: Cell<bool>,
 }
 
-impl Member {
+impl Registration {
     /// A proxy without a place yet.
     pub fn new(id: ProxyId, announced_as: Announced) -> Self {
         let duty = Rc::new(Duty::new(id.clone()));
@@ -65,12 +65,12 @@
 
     /// The revision at which this proxy took the duty to coordinate, while it is sure to
     /// hold it.
-    pub fn duty(&self, directory: &Directory) -> Option<Revision> {
+    pub fn coordinator_epoch(&self, directory: &Directory) -> Option<Revision> {
         self.duty.held(directory)
     }
 
     /// Keeps the place for as long as the process runs.
-    pub async fn keep(
+    pub async fn run(
         self: Rc<Self>,
         cx: Rc<Cx>,
         directory: Directory,
@@ -130,11 +130,11 @@
             kv::put(client, &key, &value, lease).await?;
             self.announced.set(true);
         }
-        let concerns = cx.concerns.unheard(clock::now());
+        let reports = cx.reports.undelivered(clock::now());
         let mut groups: Vec<_> = self.doubts.borrow().keys().cloned().collect();
-        groups.extend(concerns.keys().cloned());
+        groups.extend(reports.keys().cloned());
         for group in groups {
-            let doubt = concerns.get(&group).and_then(|c| c.doubt.clone());
+            let doubt = reports.get(&group).and_then(|c| c.suspicion.clone());
             self.tell(client, &group, doubt, lease).await?;
         }
         Ok(())
--- a/crates/front/src/registration/report.rs
+++ b/crates/front/src/registration/report.rs
@@ -12,7 +12,7 @@
 use crate::clock;
 use crate::cx::Cx;
 use crate::directory::Directory;
-use crate::health::Concerns;
+use crate::health::Reports;
 
 /// Pause between two looks at the concerns. A doubt takes 0.6 s to arise.
 const LOOK: Span = Span::from_millis(100);
@@ -23,18 +23,18 @@
 
 /// Reports for as long as the process runs.
 pub(super) async fn run(me: ProxyId, cx: Rc<Cx>, directory: Directory) {
-    let mut told = Concerns::default();
+    let mut told = Reports::default();
     let mut looks = 0;
     loop {
         clock::sleep_until(clock::now() + LOOK).await;
-        let own = cx.concerns.own();
+        let own = cx.reports.own();
         looks += 1;
         let due = own != told || (!own.is_empty() && looks >= AGAIN);
         if !due {
             continue;
         }
         let heard = tell(&me, &cx, &directory, &own).await;
-        cx.concerns.set_heard(heard, clock::now());
+        cx.reports.set_delivered(heard, clock::now());
         if heard {
             told = own;
             looks = 0;
@@ -43,12 +43,12 @@
 }
 
 /// Tells the coordinator, if there is one; says whether it heard.
-async fn tell(me: &ProxyId, cx: &Cx, directory: &Directory, own: &Concerns) -> bool {
+async fn tell(me: &ProxyId, cx: &Cx, directory: &Directory, own: &Reports) -> bool {
     let Some(coordinator) = directory.with(|s| s.coordinator_name()) else {
         return false;
     };
     if coordinator == *me {
-        cx.concerns.told(me.clone(), own.clone(), clock::now());
+        cx.reports.receive(me.clone(), own.clone(), clock::now());
         return true;
     }
     let Some(address) = directory.with(|s| s.relay(&coordinator)) else {
--- a/crates/front/src/relay.rs
+++ b/crates/front/src/relay.rs
@@ -24,7 +24,7 @@
 use crate::clock;
 use crate::feed::Packed;
 use crate::group::Note;
-use crate::health::Concerns;
+use crate::health::Reports;
 
 pub use carrier::serve;
 pub use client::{Client, Miss, WayBack};
@@ -82,7 +82,7 @@
     /// then by `Changing` or `Elsewhere`.
     Changes { within: Span },
     /// Tells what the sender finds wrong with the groups; it is answered by `Heard`.
-    Report { by: ProxyId, concerns: Concerns },
+    Report { by: ProxyId, concerns: Reports },
 }
 
 /// What is known of a connection that comes back.
--- a/crates/front/src/relay/carrier.rs
+++ b/crates/front/src/relay/carrier.rs
@@ -76,7 +76,7 @@
 async fn answer(cx: &Rc<Cx>, request: ToCarrier, writer: &mut Writer) -> Result<(), StreamError> {
     let answer = match request {
         ToCarrier::Report { by, concerns } => {
-            cx.concerns.told(by, concerns, clock::now());
+            cx.reports.receive(by, concerns, clock::now());
             FromCarrier::Heard
         }
         ToCarrier::Follow { after, wait } => {
@@ -86,7 +86,7 @@
         }
         ToCarrier::Changes { within } => {
             writer.send(encode(&FromCarrier::Heard)).await?;
-            match cx.changes.ask_store(within).recv_async().await {
+            match cx.changes.query_store(within).recv_async().await {
                 Ok(noted) => FromCarrier::Changing(noted.as_ref().clone()),
                 Err(flume::RecvError::Disconnected) => FromCarrier::Elsewhere,
             }
--- a/crates/front/src/relay/client.rs
+++ b/crates/front/src/relay/client.rs
@@ -20,7 +20,7 @@
 use crate::conn::{Conn, ConnError};
 use crate::feed::PackError;
 use crate::group::{Lent, Note};
-use crate::health::Concerns;
+use crate::health::Reports;
 
 /// Connections to one carrier that stay open while no loan uses them.
 const MAX_IDLE: usize = 8;
@@ -118,7 +118,7 @@
         to: &ProxyId,
         address: SocketAddr,
         by: &ProxyId,
-        concerns: &Concerns,
+        concerns: &Reports,
     ) -> bool {
         let report = ToCarrier::Report {
             by: by.clone(),
--- a/crates/front/src/run.rs
+++ b/crates/front/src/run.rs
@@ -17,9 +17,9 @@
 use crate::coordinator::Coordinator;
 use crate::cx::Cx;
 use crate::directory::{Announced, Directory};
-use crate::distance::Ways;
+use crate::distance::Distances;
 use crate::metrics::{self, Metrics};
-use crate::registration::Member;
+use crate::registration::Registration;
 use crate::stop::{self, Phase, Stopper};
 use crate::{clock, pages, relay, session};
 
@@ -45,8 +45,8 @@
 pub async fn run(cfg: Config) -> Result<(), StartError> {
     tracing::info!(proxy = %cfg.proxy, data_centre = %cfg.data_centre, listen = %cfg.listen, store = %cfg.store, "starting");
     let (stopper, stop) = stop::pair();
-    let ways = Ways::new(cfg.data_centre.clone(), cfg.data_centres.clone());
-    let cx = Rc::new(Cx::new(ways, Metrics::new()?, stop));
+    let distances = Distances::new(cfg.data_centre.clone(), cfg.data_centres.clone());
+    let cx = Rc::new(Cx::new(distances, Metrics::new()?, stop));
     let store = Client::new(vec![format!("http://{}", cfg.store)])?;
     let orders = Client::new(vec![format!("http://{}", cfg.orders)])?;
     let listener = listen(cfg.listen).await?;
@@ -67,27 +67,27 @@
         data_centre: cfg.data_centre.clone(),
         relay: cfg.relay_listen,
     };
-    let member = Rc::new(Member::new(cfg.proxy.clone(), announced));
-    let holder = member.clone();
-    let coordinates = move |directory: &Directory| holder.duty(directory).is_some();
+    let registration = Rc::new(Registration::new(cfg.proxy.clone(), announced));
+    let holder = registration.clone();
+    let coordinates = move |directory: &Directory| holder.coordinator_epoch(directory).is_some();
     let directory = Directory::new(cx.clone(), me, changed, cfg.in_force_within_ms, coordinates);
     compio::runtime::spawn(directory.clone().follow(store.clone(), cfg.first_start)).detach();
     compio::runtime::spawn(serve_changes(directory.clone(), store.clone())).detach();
     let least = cfg.least_lease_ms;
-    let keep = member
+    let registering = registration
         .clone()
-        .keep(cx.clone(), directory.clone(), store.clone(), least);
-    compio::runtime::spawn(keep).detach();
+        .run(cx.clone(), directory.clone(), store.clone(), least);
+    compio::runtime::spawn(registering).detach();
     let coordinator = Coordinator {
         cx: cx.clone(),
         directory,
-        member: member.clone(),
+        registration: registration.clone(),
         store: store.counted_for(Purpose::Intents),
         orders,
-        last: Rc::default(),
-        named: Default::default(),
-        lag_handled: Default::default(),
-        accounts: Default::default(),
+        last_token: Rc::default(),
+        promotions: Default::default(),
+        lag_backoff: Default::default(),
+        order_trackers: Default::default(),
     };
     compio::runtime::spawn(coordinator.run(changes)).detach();
     compio::runtime::spawn(become_ready(cx.clone(), ready.clone())).detach();
@@ -97,7 +97,7 @@
     told_to_stop().await;
     tracing::info!(sessions = cx.sessions(), "stopping");
     ready.store(false, Ordering::Relaxed);
-    member.leave(&store).await;
+    registration.leave(&store).await;
     drain(&cfg, &cx, stopper).await;
     tracing::info!(sessions = cx.sessions(), "stopped");
     Ok(())
--- a/crates/front/tests/notes.rs
+++ b/crates/front/tests/notes.rs
@@ -6,7 +6,7 @@
 use front::clock;
 use front::cx::Cx;
 use front::directory::{COORDINATOR, Call, Directory, NoteError};
-use front::distance::Ways;
+use front::distance::Distances;
 use front::metrics::Metrics;
 use front::stop;
 use indexmap::IndexMap;
@@ -37,9 +37,9 @@
         id: "p1".parse().unwrap(),
         data_centre: "a".parse().unwrap(),
     };
-    let ways = Ways::new(me.data_centre.clone(), IndexMap::new());
+    let distances = Distances::new(me.data_centre.clone(), IndexMap::new());
     let (_stopper, stop) = stop::pair();
-    let cx = Rc::new(Cx::new(ways, Metrics::new().unwrap(), stop));
+    let cx = Rc::new(Cx::new(distances, Metrics::new().unwrap(), stop));
     let (changed, _) = flume::bounded(1);
     let directory = Directory::new(cx, me, changed, Duration::from_secs(4), |_| true);
     let held = held(&client).await;
--- a/crates/front/tests/pending_changes.rs
+++ b/crates/front/tests/pending_changes.rs
@@ -26,15 +26,15 @@
     let changes = Changes::default();
     let counts = |name: &str, opened| changes.is_eligible(&name.parse().unwrap(), at(opened));
     assert!(!counts("a", 5));
-    changes.take(at(10), &groups(&[]));
+    changes.record_reply(at(10), &groups(&[]));
     assert!(counts("a", 5) && counts("b", 5));
-    changes.take(at(30), &groups(&["a"]));
+    changes.record_reply(at(30), &groups(&["a"]));
     assert!(counts("a", 5), "it was open before the change");
     assert!(!counts("a", 20), "it may be that of a restarted instance");
     assert!(counts("b", 20));
-    changes.take(at(40), &groups(&["a"]));
+    changes.record_reply(at(40), &groups(&["a"]));
     assert!(!counts("a", 20));
-    changes.take(at(50), &groups(&[]));
+    changes.record_reply(at(50), &groups(&[]));
     assert!(counts("a", 45));
 }
 
@@ -42,7 +42,7 @@
 #[test]
 fn nothing_counts_for_a_proxy_that_starts_during_a_change() {
     let changes = Changes::default();
-    changes.take(at(10), &groups(&["a"]));
+    changes.record_reply(at(10), &groups(&["a"]));
     assert!(!changes.is_eligible(&"a".parse().unwrap(), at(5)));
 }
 
@@ -51,9 +51,9 @@
 #[test]
 fn an_earlier_answer_undoes_no_later_one() {
     let changes = Changes::default();
-    changes.take(at(10), &groups(&[]));
-    changes.take(at(30), &groups(&["a"]));
-    changes.take(at(20), &groups(&[]));
+    changes.record_reply(at(10), &groups(&[]));
+    changes.record_reply(at(30), &groups(&["a"]));
+    changes.record_reply(at(20), &groups(&[]));
     let counts = |opened| changes.is_eligible(&"a".parse().unwrap(), at(opened));
     assert!(counts(5) && !counts(15));
 }
@@ -70,7 +70,7 @@
         let client = client.clone();
         compio::runtime::spawn(async move {
             let ask = |within| {
-                let answer = reader.ask_store(within);
+                let answer = reader.query_store(within);
                 async move { answer.recv_async().await.ok() }
             };
             follower.serve(client, ask).await;
@@ -126,7 +126,7 @@
         compio::time::sleep(Duration::from_millis(1)).await;
         proxies[0].refresh();
         compio::time::sleep(Duration::from_millis(1)).await;
-        assert!(proxies[1].ask().recv_async().await.is_ok());
+        assert!(proxies[1].query().recv_async().await.is_ok());
         all_count(&proxies, opened).await;
         assert_eq!(questions(&client), 1);
     });
@@ -140,6 +140,6 @@
         let managed = Managed::start(1).unwrap();
         managed.set_store_fault(StoreFault::Away);
         let (proxies, _) = data_centre(&managed, 1);
-        assert!(proxies[0].ask().recv_async().await.is_err());
+        assert!(proxies[0].query().recv_async().await.is_err());
     });
 }
--- a/crates/front/tests/report.rs
+++ b/crates/front/tests/report.rs
@@ -5,8 +5,8 @@
 
 use compio::net::TcpListener;
 use front::cx::Cx;
-use front::distance::Ways;
-use front::health::{Board, Concern, Concerns};
+use front::distance::Distances;
+use front::health::{GroupReport, ReportBoard, Reports};
 use front::metrics::Metrics;
 use front::relay::{self, Client};
 use front::{clock, stop};
@@ -23,10 +23,10 @@
     name.parse().unwrap()
 }
 
-fn doubt() -> Concerns {
+fn doubt() -> Reports {
     let instance: InstanceId = "i-1".parse().unwrap();
-    let concern = Concern {
-        doubt: Some((instance, Suspicion::Unreachable)),
+    let concern = GroupReport {
+        suspicion: Some((instance, Suspicion::Unreachable)),
         lags: false,
     };
     [(group(), concern)].into_iter().collect()
@@ -38,9 +38,9 @@
 fn a_report_reaches_the_coordinator_without_the_store() {
     let runtime = compio::runtime::Runtime::new().unwrap();
     runtime.block_on(async {
-        let ways = Ways::new("dc".parse().unwrap(), IndexMap::new());
+        let distances = Distances::new("dc".parse().unwrap(), IndexMap::new());
         let (_stopper, stop) = stop::pair();
-        let cx = Rc::new(Cx::new(ways, Metrics::new().unwrap(), stop));
+        let cx = Rc::new(Cx::new(distances, Metrics::new().unwrap(), stop));
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
         compio::runtime::spawn(relay::serve(cx.clone(), listener)).detach();
@@ -52,7 +52,7 @@
                     .await
             );
         }
-        let about = cx.concerns.about(&group(), clock::now());
+        let about = cx.reports.for_group(&group(), clock::now());
         assert_eq!(about, [(proxy("p"), doubt()[&group()].clone())]);
         let nobody: SocketAddr = "127.0.0.1:9".parse().unwrap();
         assert!(
@@ -67,27 +67,31 @@
 /// in the usual case, where each would wake every proxy of the fleet.
 #[test]
 fn what_the_coordinator_does_not_hear_goes_through_the_store() {
-    let board = Board::default();
+    let board = ReportBoard::default();
     board.set_own(&group(), doubt()[&group()].clone());
     let now = clock::now() + Span::from_millis(10_000);
     let after = |ms| now + Span::from_millis(ms);
-    board.set_heard(false, now);
-    assert!(board.unheard(after(200)).is_empty());
-    board.set_heard(false, after(250));
-    assert_eq!(board.unheard(after(350)), doubt());
-    board.set_heard(true, after(400));
-    assert!(board.unheard(after(900)).is_empty());
+    board.set_delivered(false, now);
+    assert!(board.undelivered(after(200)).is_empty());
+    board.set_delivered(false, after(250));
+    assert_eq!(board.undelivered(after(350)), doubt());
+    board.set_delivered(true, after(400));
+    assert!(board.undelivered(after(900)).is_empty());
 }
 
 /// A proxy that is cut off stops reporting; what it told last does not count for long.
 #[test]
 fn a_report_is_forgotten() {
-    let board = Board::default();
+    let board = ReportBoard::default();
     let now = clock::now() + Span::from_millis(10_000);
-    board.told(proxy("p"), doubt(), now);
-    let about = |after| board.about(&group(), now + Span::from_millis(after)).len();
+    board.receive(proxy("p"), doubt(), now);
+    let about = |after| {
+        board
+            .for_group(&group(), now + Span::from_millis(after))
+            .len()
+    };
     assert_eq!((about(900), about(1_100)), (1, 0));
-    board.told(proxy("p"), doubt(), now);
-    board.told(proxy("p"), Concerns::default(), now);
+    board.receive(proxy("p"), doubt(), now);
+    board.receive(proxy("p"), Reports::default(), now);
     assert_eq!(about(0), 0);
 }
