--- a/crates/front/src/coordinator.rs
+++ b/crates/front/src/coordinator.rs
@@ -1,4 +1,4 @@
-//! Changes of primary, by the proxy that holds the duty.
+//! Changes of primary, which the proxy with the coordinator role carries out.
 
 mod change_intent;
 mod new_instances;
@@ -29,29 +29,29 @@
 use crate::health::GroupReport;
 use crate::registration::Registration;
 
-/// Longest time between two looks; changes in the store cause a look at once.
-const LOOK: Span = Span::from_millis(200);
+/// Longest time between two checks of all groups; a change in the store causes a check at once.
+const CHECK_INTERVAL: Span = Span::from_millis(200);
 
-/// Time between two looks for replicas that were left stopped. Each look costs every
-/// instance a slot for a moment; a replica that is left stopped is passed over meanwhile.
-const MEND: Span = Span::from_millis(3_000);
+/// Time between two surveys for replicas that were left paused. Each survey briefly takes a slot
+/// of every instance; a replica that is left paused is not used meanwhile.
+const RESUME_INTERVAL: Span = Span::from_millis(3_000);
 
-/// Longest wait for the platform's answer to an order. It carries one out in 600 to
-/// 1,000 ms; whether it did is seen on the instance.
-const ORDER: Duration = Duration::from_millis(1_500);
+/// Longest wait for the platform's response to a promotion order. The platform takes 600 to
+/// 1,000 ms to carry one out; the instance's state shows whether it did.
+const ORDER_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Pause between two looks at the instances, or two orders to the platform.
-const PAUSE: Duration = Duration::from_millis(60);
+/// Pause between two surveys of the instances, or two orders to the platform.
+const POLL_INTERVAL: Duration = Duration::from_millis(60);
 
-/// Least time between two changes of a group's primary because its replicas lag. A change
-/// leaves one replica that does not lag; where all of them lag for good, changing the
-/// primary again and again helps nobody.
-const LAG_PAUSE: Span = Span::from_millis(10_000);
+/// Minimum time between two changes of a group's primary because its replicas lag. After a
+/// change, one replica does not lag; where all of them lag permanently, repeated changes of
+/// primary improve nothing.
+const LAG_CHANGE_INTERVAL: Span = Span::from_millis(10_000);
 
-/// The same after a change that came to nothing.
-const LAG_RETRY: Span = Span::from_millis(1_500);
+/// The same after a change that did not replace the primary.
+const LAG_RETRY_INTERVAL: Span = Span::from_millis(1_500);
 
-/// Before which time the primary of a group is not changed because its replicas lag.
+/// Time of each group before which its primary is not changed again because replicas lag.
 #[derive(Clone, Default)]
 pub struct LagBackoff(Rc<RefCell<IndexMap<GroupId, Time>>>);
 
@@ -61,35 +61,39 @@
         next.is_none_or(|next| clock::now() >= next)
     }
 
-    fn note(&self, group: &GroupId, led: bool) {
-        let pause = if led { LAG_PAUSE } else { LAG_RETRY };
+    fn record(&self, group: &GroupId, promoted: bool) {
+        let pause = if promoted {
+            LAG_CHANGE_INTERVAL
+        } else {
+            LAG_RETRY_INTERVAL
+        };
         let next = clock::now() + pause;
         self.0.borrow_mut().insert(group.clone(), next);
     }
 }
 
-/// Time for which doubts about a new primary are not counted: by then every proxy has heard
-/// of the change, or its doubt is a new one.
-const SETTLES: Span = Span::from_millis(1_500);
+/// Time for which suspicions of a new primary are not counted. After it, every proxy has
+/// learnt of the change, so that a suspicion is a new one.
+const PROMOTION_GRACE: Span = Span::from_millis(1_500);
 
-/// The instance of each group that was made primary last, and when.
+/// The instance that was promoted last in each group, and when.
 #[derive(Clone, Default)]
 pub struct RecentPromotions(Rc<RefCell<IndexMap<GroupId, (InstanceId, Time)>>>);
 
 impl RecentPromotions {
-    fn note(&self, group: &GroupId, instance: &InstanceId) {
-        let named = (instance.clone(), clock::now());
-        self.0.borrow_mut().insert(group.clone(), named);
+    fn record(&self, group: &GroupId, instance: &InstanceId) {
+        let promoted = (instance.clone(), clock::now());
+        self.0.borrow_mut().insert(group.clone(), promoted);
     }
 
-    fn settling(&self, group: &GroupId) -> Option<InstanceId> {
-        let named = self.0.borrow();
-        let (instance, at) = named.get(group)?;
-        (!over(*at, SETTLES)).then(|| instance.clone())
+    fn recently_promoted(&self, group: &GroupId) -> Option<InstanceId> {
+        let promoted = self.0.borrow();
+        let (instance, at) = promoted.get(group)?;
+        (!has_elapsed(*at, PROMOTION_GRACE)).then(|| instance.clone())
     }
 }
 
-/// Which primary of each group is accounted for by this proxy's orders.
+/// Which primary of each group is explained by this proxy's orders.
 #[derive(Clone, Default)]
 pub struct OrderTrackers(Rc<RefCell<IndexMap<GroupId, OrderTracker>>>);
 
@@ -99,106 +103,106 @@
     }
 }
 
-/// What the coordinator works with.
+/// State and clients of the coordinator.
 #[derive(Clone)]
 pub struct Coordinator {
     /// Shared by all tasks.
     pub cx: Rc<Cx>,
-    /// What the store tells.
+    /// This proxy's mirror of the store.
     pub directory: Directory,
-    /// This proxy's standing.
+    /// This proxy's registration in the store, with its coordinator role.
     pub registration: Rc<Registration>,
     /// The platform's store.
     pub store: Client,
-    /// Takes orders.
+    /// The platform's API for promotion orders.
     pub orders: Client,
     /// The token of the last order.
     pub last_token: Rc<Cell<Token>>,
-    /// Who was made primary last.
+    /// The last promotion of each group.
     pub promotions: RecentPromotions,
-    /// Changes because of lagging replicas.
+    /// Limits how often lagging replicas cause a change.
     pub lag_backoff: LagBackoff,
-    /// Primaries that its orders account for.
+    /// Primaries that this proxy's orders explain.
     pub order_trackers: OrderTrackers,
 }
 
-/// Groups that a task is at work on; one at a time for each.
+/// Groups that a task is working on; at most one task per group.
 #[derive(Clone, Default)]
-struct Busy(Rc<RefCell<IndexSet<GroupId>>>);
+struct GroupLocks(Rc<RefCell<IndexSet<GroupId>>>);
 
-/// A group that is at work on; dropping it frees the group.
-struct Entered(Busy, GroupId);
+/// The lock of one group, released on drop.
+struct GroupLock(GroupLocks, GroupId);
 
-impl Busy {
-    fn enter(&self, group: &GroupId) -> Option<Entered> {
+impl GroupLocks {
+    fn try_lock(&self, group: &GroupId) -> Option<GroupLock> {
         let new = self.0.borrow_mut().insert(group.clone());
-        new.then(|| Entered(self.clone(), group.clone()))
+        new.then(|| GroupLock(self.clone(), group.clone()))
     }
 }
 
-impl Drop for Entered {
+impl Drop for GroupLock {
     fn drop(&mut self) {
         self.0.0.borrow_mut().shift_remove(&self.1);
     }
 }
 
 impl Coordinator {
-    /// Looks after all groups whenever this proxy holds the duty.
+    /// Checks all groups while this proxy holds the coordinator role.
     pub async fn run(self, changed: flume::Receiver<()>) {
-        let busy = Busy::default();
-        let mut mend_at = clock::now();
+        let locks = GroupLocks::default();
+        let mut next_repair = clock::now();
         loop {
-            // Nobody else sends, so an error is only the end of the wait.
-            let _ = compio::time::timeout(LOOK.as_duration(), changed.recv_async()).await;
-            let Some(duty) = self.registration.coordinator_epoch(&self.directory) else {
+            // An error only means that the wait timed out: the sender is never dropped.
+            let _ = compio::time::timeout(CHECK_INTERVAL.as_duration(), changed.recv_async()).await;
+            let Some(epoch) = self.registration.coordinator_epoch(&self.directory) else {
                 continue;
             };
-            let mend = clock::now() >= mend_at;
-            if mend {
-                mend_at = clock::now() + MEND;
+            let repair = clock::now() >= next_repair;
+            if repair {
+                next_repair = clock::now() + RESUME_INTERVAL;
             }
             for group in self.cx.groups() {
-                let Some(entered) = busy.enter(group.group()) else {
+                let Some(lock) = locks.try_lock(group.group()) else {
                     continue;
                 };
                 let trigger = self.trigger(&group).await;
                 let this = self.clone();
                 if let Some((instance, cause)) = trigger {
                     let change = async move {
-                        takeover::run(&this, duty, group, instance, cause).await;
-                        drop(entered);
+                        takeover::run(&this, epoch, group, instance, cause).await;
+                        drop(lock);
                     };
                     compio::runtime::spawn(change).detach();
-                } else if mend {
-                    let mend = async move {
-                        resume::mend(&this, duty, group).await;
-                        drop(entered);
+                } else if repair {
+                    let repair = async move {
+                        resume::repair(&this, epoch, group).await;
+                        drop(lock);
                     };
-                    compio::runtime::spawn(mend).detach();
+                    compio::runtime::spawn(repair).detach();
                 }
             }
         }
     }
 
-    /// Whether this proxy still holds the duty that it took at this revision. What was found
-    /// out under an earlier one may have been changed by another coordinator since.
-    fn holds(&self, duty: Revision) -> bool {
-        self.registration.coordinator_epoch(&self.directory) == Some(duty)
+    /// Whether this proxy still holds the coordinator role of this epoch. Another coordinator may
+    /// since have changed what was found out in an earlier epoch.
+    fn holds_role(&self, epoch: Revision) -> bool {
+        self.registration.coordinator_epoch(&self.directory) == Some(epoch)
     }
 
-    /// A token for the next order, higher than all before: an order that is carried out
-    /// late is then refused once a newer one was seen. `None` without the duty.
-    fn next_token(&self, duty: Revision) -> Option<Token> {
-        if !self.holds(duty) {
+    /// A token for the next order, higher than all before: the platform rejects a delayed order
+    /// once it has received a newer one. `None` without the coordinator role.
+    fn next_token(&self, epoch: Revision) -> Option<Token> {
+        if !self.holds_role(epoch) {
             return None;
         }
-        let token = Token::first(duty.0).max(self.last_token.get().next());
+        let token = Token::first(epoch.0).max(self.last_token.get().next());
         self.last_token.set(token);
         Some(token)
     }
 
-    /// Orders the platform to make an instance lead its group.
-    async fn order(
+    /// Orders the platform to promote an instance.
+    async fn send_order(
         &self,
         purpose: Purpose,
         group: &GroupId,
@@ -206,90 +210,91 @@
         token: Token,
     ) -> Result<OrderResponse, Error> {
         let (holder, target) = (&self.registration.id, (group, instance));
-        let answer = platform::order::promote(&self.orders, holder, token, target, ORDER).await;
-        let told = answer.as_ref().ok().copied();
-        self.cx.metrics.ordered(purpose, told);
-        if matches!(told, None | Some(OrderResponse::Accepted)) {
+        let result =
+            platform::order::promote(&self.orders, holder, token, target, ORDER_TIMEOUT).await;
+        let response = result.as_ref().ok().copied();
+        self.cx.metrics.ordered(purpose, response);
+        if matches!(response, None | Some(OrderResponse::Accepted)) {
             self.order_trackers
                 .with(group, |e| e.record_order(purpose, instance));
         }
-        answer
+        result
     }
 
-    /// Counts a primary that this proxy's last order does not account for.
-    fn note_look(&self, group: &GroupId, members: &[policy::takeover::InstanceView]) {
-        let Some(duty) = self.registration.coordinator_epoch(&self.directory) else {
+    /// Counts and logs a primary that this proxy's last order does not explain.
+    fn observe_primary(&self, group: &GroupId, instances: &[policy::takeover::InstanceView]) {
+        let Some(epoch) = self.registration.coordinator_epoch(&self.directory) else {
             return;
         };
-        let holder = Token::first(duty.0);
-        let late = self
+        let holder = Token::first(epoch.0);
+        let unexpected = self
             .order_trackers
-            .with(group, |e| e.observe(holder, members));
+            .with(group, |e| e.observe(holder, instances));
         if let Some(UnexpectedPrimary {
             instance,
             last_purpose: after,
-        }) = late
+        }) = unexpected
         {
             self.cx.metrics.order_late(after);
-            tracing::warn!(%group, %instance, ?after, "an instance leads that the last order does not account for");
+            tracing::warn!(%group, %instance, ?after, "unexpected primary: not the result of this coordinator's last order");
         }
     }
 
-    /// Whether the group's primary is to be replaced, and why.
+    /// The primary to replace and why, if there is a reason.
     async fn trigger(&self, group: &group::Handle) -> Option<(InstanceId, Cause)> {
         let view = group.view().await;
         let id = group.group();
-        let told = self.cx.reports.for_group(id, clock::now());
-        if let Some(doubted) = self.doubted(id, &told, view.primary.as_ref()) {
-            return Some((doubted, Cause::Doubted));
+        let reports = self.cx.reports.for_group(id, clock::now());
+        if let Some(suspected) = self.suspected(id, &reports, view.primary.as_ref()) {
+            return Some((suspected, Cause::Doubted));
         }
         let primary = view.primary?;
-        if order::pending(self, id).is_some_and(|ordered| ordered != primary) {
+        if order::pending(self, id).is_some_and(|pending| pending != primary) {
             return Some((primary, Cause::Unfinished));
         }
-        let members = self.directory.with(|s| s.members(group.group()));
-        let leaving = members.iter().any(|(e, _)| e.id == primary && e.leaving);
-        let successor = members
+        let instances = self.directory.with(|s| s.members(group.group()));
+        let leaving = instances.iter().any(|(e, _)| e.id == primary && e.leaving);
+        let successor = instances
             .iter()
-            .any(|(e, listed)| e.id != primary && *listed && !e.leaving);
+            .any(|(e, announced)| e.id != primary && *announced && !e.leaving);
         if leaving && successor {
             return Some((primary, Cause::Leaving));
         }
-        let lags = successor && self.lags(id, &told);
+        let lags = successor && self.lags(id, &reports);
         lags.then_some((primary, Cause::Lagging))
     }
 
-    /// The instance that enough proxies doubt, by the store or by their reports.
-    fn doubted(
+    /// The instance that a quorum of proxies suspects, by the store or by their reports.
+    fn suspected(
         &self,
         group: &GroupId,
-        told: &[(ProxyId, GroupReport)],
+        reports: &[(ProxyId, GroupReport)],
         primary: Option<&InstanceId>,
     ) -> Option<InstanceId> {
-        let reported = told.iter().filter_map(|(proxy, concern)| {
-            let (instance, _) = concern.suspicion.as_ref()?;
+        let reported = reports.iter().filter_map(|(proxy, report)| {
+            let (instance, _) = report.suspicion.as_ref()?;
             Some((proxy.clone(), instance.clone()))
         });
         self.directory.with(|state| {
-            let doubts = Suspicions {
+            let suspicions = Suspicions {
                 by_proxy: state.doubts(group).chain(reported).collect(),
                 primary: primary.cloned(),
-                recently_promoted: self.promotions.settling(group),
+                recently_promoted: self.promotions.recently_promoted(group),
                 holders: state.holders(group) as usize,
             };
-            quorum::suspected(&doubts, |id| state.is_announced(id))
+            quorum::suspected(&suspicions, |id| state.is_announced(id))
         })
     }
 
-    /// Whether enough proxies find that no replica holds what reads need.
-    fn lags(&self, group: &GroupId, told: &[(ProxyId, GroupReport)]) -> bool {
-        let lags = told.iter().filter(|(_, concern)| concern.lags).count();
+    /// Whether a quorum of proxies reports that no replica holds the writes that reads need.
+    fn lags(&self, group: &GroupId, reports: &[(ProxyId, GroupReport)]) -> bool {
+        let lags = reports.iter().filter(|(_, report)| report.lags).count();
         let holders = self.directory.with(|state| state.holders(group));
         lags >= quorum::required(holders as usize) && self.lag_backoff.due(group)
     }
 }
 
-/// Whether some time has passed.
-fn over(since: Time, limit: Span) -> bool {
+/// Whether this much time has passed.
+fn has_elapsed(since: Time, limit: Span) -> bool {
     clock::now().since(since) >= limit
 }
--- a/crates/front/src/coordinator/change_intent.rs
+++ b/crates/front/src/coordinator/change_intent.rs
@@ -1,56 +1,56 @@
-//! Noting in the store that a change of primary is under way, while it begins.
+//! Records in the store the intent to change a primary, while the change begins.
 
 use model::id::GroupId;
 use model::position::Revision;
 
 use super::Coordinator;
-use super::takeover::REFUSED_PAUSE;
+use super::takeover::RETRY_DELAY;
 use crate::directory::Call;
 
-/// The note of a change, which is written beside the first looks.
-pub(super) struct Noting {
+/// The intent of a change, which is written concurrently with the first surveys.
+pub(super) struct ChangeIntent {
     rx: flume::Receiver<Revision>,
-    noted: Option<Revision>,
+    revision: Option<Revision>,
 }
 
-impl Noting {
-    /// Writes the note, again if that fails, for as long as the result lives.
-    pub(super) fn begin(this: &Coordinator, group: &GroupId, duty: Revision) -> Self {
+impl ChangeIntent {
+    /// Starts to write the intent, and retries for as long as the returned value exists.
+    pub(super) fn record(this: &Coordinator, group: &GroupId, epoch: Revision) -> Self {
         let (tx, rx) = flume::bounded(1);
         let (this, group) = (this.clone(), group.clone());
         compio::runtime::spawn(async move {
-            while !tx.is_disconnected() && this.holds(duty) {
-                match write(&this, &group, duty).await {
-                    Some(noted) => {
-                        // The change may have ended.
-                        let _ = tx.send(noted);
+            while !tx.is_disconnected() && this.holds_role(epoch) {
+                match write(&this, &group, epoch).await {
+                    Some(revision) => {
+                        // The receiver is gone if the change has ended.
+                        let _ = tx.send(revision);
                         return;
                     }
-                    None => compio::time::sleep(REFUSED_PAUSE).await,
+                    None => compio::time::sleep(RETRY_DELAY).await,
                 }
             }
         })
         .detach();
-        Self { rx, noted: None }
+        Self { rx, revision: None }
     }
 
-    /// Whether a look that begins now sees every instance of which a connection counts: they
-    /// were announced before the note.
-    pub(super) fn is_known(&mut self, this: &Coordinator) -> bool {
-        self.noted = self.noted.or_else(|| self.rx.try_recv().ok());
+    /// Whether this proxy's mirror of the store includes the intent. A survey that begins then
+    /// covers every instance with an eligible connection, as all were announced before it.
+    pub(super) fn is_mirrored(&mut self, this: &Coordinator) -> bool {
+        self.revision = self.revision.or_else(|| self.rx.try_recv().ok());
         let known = this.directory.with(|s| s.revision());
-        self.noted.is_some_and(|noted| noted <= known)
+        self.revision.is_some_and(|revision| revision <= known)
     }
 }
 
-async fn write(this: &Coordinator, group: &GroupId, duty: Revision) -> Option<Revision> {
-    let noted = this
+async fn write(this: &Coordinator, group: &GroupId, epoch: Revision) -> Option<Revision> {
+    let revision = this
         .directory
-        .note(&this.store, duty, Call::Change, group, &[]);
-    match noted.await {
-        Ok(noted) => Some(noted),
+        .note(&this.store, epoch, Call::Change, group, &[]);
+    match revision.await {
+        Ok(revision) => Some(revision),
         Err(e) => {
-            tracing::warn!(%group, cause = %e, "a change of primary was not noted");
+            tracing::warn!(%group, cause = %e, "the intent to change the primary was not recorded");
             None
         }
     }
--- a/crates/front/src/coordinator/new_instances.rs
+++ b/crates/front/src/coordinator/new_instances.rs
@@ -1,8 +1,8 @@
-//! Instances that appear while an order is given and carried out.
+//! Instances that are announced while a promotion order is sent and carried out.
 //!
-//! One could receive from the old primary and acknowledge what the next one lacks, so it is
-//! told to stop receiving as soon as it is known. A restarted one has forgotten that it was
-//! stopped, and appears anew under its id.
+//! Such an instance could receive from the old primary and acknowledge writes that the next
+//! primary lacks, so it is paused as soon as it is known. A restarted instance has lost its
+//! pause, and is announced again under the same id.
 
 use std::pin::pin;
 
@@ -13,76 +13,76 @@
 use model::position::Term;
 use platform::line::Own;
 
-use super::queries::Links;
-use super::{Coordinator, PAUSE, report};
+use super::queries::InstanceQueries;
+use super::{Coordinator, POLL_INTERVAL, report};
 
-/// A start of an instance.
+/// One start of an instance: its id and the time of the start.
 pub(super) type Start = (InstanceId, u64);
 
-/// The start that an entry tells of.
+/// The start that an entry describes.
 pub(super) fn start(entry: &Entry) -> Start {
     (entry.id.clone(), entry.started_at)
 }
 
-/// Watches for instances that a look did not find.
-pub(super) struct Newcomers {
-    /// The term under which they are told to stop, which the next primary leads at least.
+/// Pauses instances that the last survey did not find.
+pub(super) struct NewInstances {
+    /// The term of the pause commands; the next primary leads this term or a later one.
     pub(super) term: Term,
-    /// Starts that the look found, or that have been stopped since.
+    /// Starts that the survey found, or that have been paused since.
     known: IndexSet<Start>,
 }
 
-impl Newcomers {
-    /// Those that appear after the last look of these links.
-    pub(super) fn new(links: &Links, term: Term) -> Self {
+impl NewInstances {
+    /// Considers every instance new that the last survey did not find.
+    pub(super) fn new(queries: &InstanceQueries, term: Term) -> Self {
         Self {
             term,
-            known: links.found().clone(),
+            known: queries.found().clone(),
         }
     }
 
-    fn appeared(&self, this: &Coordinator, links: &Links) -> Vec<Start> {
-        let listed = links
+    fn appeared(&self, this: &Coordinator, queries: &InstanceQueries) -> Vec<Start> {
+        let announced = queries
             .entries(this)
             .into_iter()
-            .filter(|(_, listed)| *listed);
-        let starts = listed.map(|(entry, _)| start(&entry));
+            .filter(|(_, announced)| *announced);
+        let starts = announced.map(|(entry, _)| start(&entry));
         starts.filter(|start| !self.known.contains(start)).collect()
     }
 
-    /// Tells those that have appeared to stop receiving; one that does not answer is told
-    /// again the next time.
-    pub(super) async fn stop(&mut self, this: &Coordinator, links: &mut Links) {
-        let new = self.appeared(this, links);
+    /// Pauses the new instances; one that does not respond gets the command again at the next
+    /// call.
+    pub(super) async fn pause(&mut self, this: &Coordinator, queries: &mut InstanceQueries) {
+        let new = self.appeared(this, queries);
         if new.is_empty() {
             return;
         }
         let ids: Vec<_> = new.iter().map(|(id, _)| id.clone()).collect();
-        let states = links.some(this, &ids, &Own::Pause(self.term.0)).await;
-        let group = links.group.group();
-        tracing::warn!(%group, "an instance appeared during a change of primary");
-        report::states(group, &states);
-        let stopped = new.into_iter().filter(|(id, _)| states.contains_key(id));
-        self.known.extend(stopped);
+        let states = queries.send_to(this, &ids, &Own::Pause(self.term.0)).await;
+        let group = queries.group.group();
+        tracing::warn!(%group, "an instance was announced during a change of primary");
+        report::log_states(group, &states);
+        let paused = new.into_iter().filter(|(id, _)| states.contains_key(id));
+        self.known.extend(paused);
     }
 
-    /// Does some work, and tells those that appear meanwhile to stop.
-    pub(super) async fn stop_during<T>(
+    /// Awaits `work`, and pauses instances that are announced meanwhile.
+    pub(super) async fn pause_during<T>(
         &mut self,
         this: &Coordinator,
-        links: &mut Links,
+        queries: &mut InstanceQueries,
         work: impl Future<Output = T>,
     ) -> T {
         let mut work = pin!(work.fuse());
         loop {
-            let look = async {
-                self.stop(this, links).await;
-                compio::time::sleep(PAUSE).await;
+            let check = async {
+                self.pause(this, queries).await;
+                compio::time::sleep(POLL_INTERVAL).await;
             };
-            let mut look = pin!(look.fuse());
+            let mut check = pin!(check.fuse());
             select_biased! {
                 done = work => return done,
-                () = look => {}
+                () = check => {}
             }
         }
     }
--- a/crates/front/src/coordinator/order.rs
+++ b/crates/front/src/coordinator/order.rs
@@ -1,7 +1,7 @@
-//! Orders to the platform that an instance lead its group.
+//! Promotion orders to the platform.
 //!
-//! An order without an answer may be carried out seconds later. It is noted in the store
-//! before it is given, so that whoever coordinates names no other instance meanwhile.
+//! An order without a response may be carried out seconds later. Its intent is recorded in the
+//! store before it is sent, so that no coordinator promotes another instance meanwhile.
 
 use model::id::{GroupId, InstanceId};
 use model::position::Revision;
@@ -11,102 +11,102 @@
 use policy::takeover::OrderResponse;
 
 use super::Coordinator;
-use super::queries::Links;
+use super::queries::InstanceQueries;
 use crate::clock;
 use crate::directory::Call;
 
-/// An order that was given.
-pub(super) struct Given {
-    /// Its note in the store.
-    noted: Revision,
+/// An order that was sent.
+pub(super) struct SentOrder {
+    /// The revision of its intent in the store.
+    intent: Revision,
     /// Whether an order before it may still be carried out.
-    earlier: bool,
-    /// What the platform said; `None` without an answer.
-    pub(super) answer: Option<OrderResponse>,
-    /// When it was said, or no longer waited for.
+    earlier_pending: bool,
+    /// The platform's response; `None` without one.
+    pub(super) response: Option<OrderResponse>,
+    /// When the response arrived, or the wait for it ended.
     pub(super) at: Time,
 }
 
-/// What an order rests on.
-pub(super) struct Basis {
+/// The facts on which an order is based.
+pub(super) struct OrderBasis {
     /// The group whose primary is changed.
     pub(super) group: GroupId,
-    /// The revision at which the duty was taken.
-    pub(super) duty: Revision,
-    /// When the look began that showed whom to name.
-    pub(super) looked_at: Time,
+    /// The epoch of the coordinator role.
+    pub(super) epoch: Revision,
+    /// When the survey began by which the next primary was chosen.
+    pub(super) surveyed_at: Time,
 }
 
-impl Basis {
-    /// The last look of these links.
-    pub(super) fn new(links: &Links) -> Self {
+impl OrderBasis {
+    /// Based on the last survey.
+    pub(super) fn new(queries: &InstanceQueries) -> Self {
         Self {
-            group: links.group.group().clone(),
-            duty: links.duty,
-            looked_at: links.looked_at(),
+            group: queries.group.group().clone(),
+            epoch: queries.epoch,
+            surveyed_at: queries.surveyed_at(),
         }
     }
 
     fn look_age_ms(&self) -> u64 {
-        clock::now().since(self.looked_at).as_millis()
+        clock::now().since(self.surveyed_at).as_millis()
     }
 }
 
-/// Notes an order and gives it; `None` if it was not given.
-pub(super) async fn give(
+/// Records the intent of an order and sends it; `None` if it was not sent.
+pub(super) async fn send(
     this: &Coordinator,
     purpose: Purpose,
-    basis: &Basis,
+    basis: &OrderBasis,
     next: &InstanceId,
-) -> Option<Given> {
-    let Basis { group, duty, .. } = basis;
-    let earlier = pending(this, group).is_some();
+) -> Option<SentOrder> {
+    let OrderBasis { group, epoch, .. } = basis;
+    let earlier_pending = pending(this, group).is_some();
     let name = next.as_str().as_bytes();
-    let noted = match this
+    let intent = match this
         .directory
-        .note(&this.store, *duty, Call::Lead, group, name)
+        .note(&this.store, *epoch, Call::Lead, group, name)
         .await
     {
-        Ok(noted) => noted,
+        Ok(intent) => intent,
         Err(e) => {
-            tracing::warn!(%group, instance = %next, cause = %e, "an order was not noted and not given");
+            tracing::warn!(%group, instance = %next, cause = %e, "an order was not sent: its intent was not recorded");
             return None;
         }
     };
-    let token = this.next_token(*duty)?;
+    let token = this.next_token(*epoch)?;
     let look_age_ms = basis.look_age_ms();
     match purpose {
         Purpose::Change => {
-            tracing::warn!(%group, instance = %next, %token, look_age_ms, "an instance is made primary");
+            tracing::warn!(%group, instance = %next, %token, look_age_ms, "ordering the platform to promote an instance");
         }
         Purpose::VoidEarlier => {
-            tracing::info!(%group, instance = %next, %token, look_age_ms, "the present primary is ordered");
+            tracing::info!(%group, instance = %next, %token, look_age_ms, "ordering the platform to promote the present primary, which voids earlier orders");
         }
     }
-    let answer = this.order(purpose, group, next, token).await;
-    tracing::info!(%group, instance = %next, %token, ?answer, "the platform answered an order");
-    let answer = match answer {
+    let response = this.send_order(purpose, group, next, token).await;
+    tracing::info!(%group, instance = %next, %token, answer = ?response, "the platform responded to an order");
+    let response = match response {
         Err(e) if e.had_no_effect() => Some(OrderResponse::NotNow),
-        answer => answer.ok(),
+        response => response.ok(),
     };
-    Some(Given {
-        noted,
-        earlier,
-        answer,
+    Some(SentOrder {
+        intent,
+        earlier_pending,
+        response,
         at: clock::now(),
     })
 }
 
-impl Given {
-    /// Deletes the note if neither this order nor one before it can have an effect any more.
-    pub(super) async fn settle(self, this: &Coordinator, group: &GroupId, led: bool) {
-        if led && self.answer == Some(OrderResponse::Accepted) && self.earlier {
-            // It leads by the earlier order, and this one is about to take effect as well.
+impl SentOrder {
+    /// Deletes the intent if neither this order nor one before it can take effect any more.
+    pub(super) async fn settle(self, this: &Coordinator, group: &GroupId, promoted: bool) {
+        if promoted && self.response == Some(OrderResponse::Accepted) && self.earlier_pending {
+            // It leads by the earlier order, and this one is about to take effect too.
             clock::sleep_until(self.at + order::EFFECT_TIMEOUT).await;
         }
         let since = clock::now().since(self.at);
-        if order::is_settled(self.answer, self.earlier, led, since) {
-            forget(this, group, Call::Lead, self.noted).await;
+        if order::is_settled(self.response, self.earlier_pending, promoted, since) {
+            delete_intent(this, group, Call::Lead, self.intent).await;
         }
     }
 }
@@ -117,63 +117,72 @@
         .with(|s| s.order_pending(group, clock::now()))
 }
 
-/// Whether the note of an order that may still be carried out cannot be read.
+/// Whether there is an unreadable intent of an order that may still be carried out.
 pub(super) fn unreadable(this: &Coordinator, group: &GroupId) -> bool {
     this.directory
         .with(|s| s.order_unreadable(group, clock::now()))
 }
 
-/// Makes the platform refuse earlier orders without an answer, which all name the primary:
-/// whether they are carried out before this one or not, it leads and goes on leading. Says
+/// Makes the platform reject earlier orders without a response, which are all for the primary:
+/// whether they are carried out before this one or not, it leads and continues to lead. Returns
 /// whether none is pending any more.
 ///
-/// One that is carried out after the primary was told to stop makes it lead again, and lets
-/// replicas receive that the next order counts on as stopped.
-pub(super) async fn void_earlier(this: &Coordinator, links: &Links, primary: &InstanceId) -> bool {
-    let basis = Basis::new(links);
+/// An order that is carried out after the primary was demoted makes it lead again, and resumes
+/// replicas that have to stay paused for the next order.
+pub(super) async fn void_earlier(
+    this: &Coordinator,
+    queries: &InstanceQueries,
+    primary: &InstanceId,
+) -> bool {
+    let basis = OrderBasis::new(queries);
     match pending(this, &basis.group) {
         Some(ordered) if ordered == *primary => {}
         Some(_) => return false,
         None => return true,
     }
-    let given = give(this, Purpose::VoidEarlier, &basis, primary).await;
-    let Some(given) = given.filter(|given| given.answer == Some(OrderResponse::Accepted)) else {
+    let sent = send(this, Purpose::VoidEarlier, &basis, primary).await;
+    let Some(sent) = sent.filter(|sent| sent.response == Some(OrderResponse::Accepted)) else {
         return false;
     };
-    forget(this, &basis.group, Call::Lead, given.noted).await;
+    delete_intent(this, &basis.group, Call::Lead, sent.intent).await;
     true
 }
 
-/// Forgets an order for an instance that has been replaced at its address: it does not run, and
-/// does not come back under that id.
-pub(super) async fn forget_replaced(this: &Coordinator, group: &GroupId) {
+/// Deletes the intent of an order for an instance that has been replaced at its address: that
+/// instance no longer runs, and does not return under its id.
+pub(super) async fn delete_replaced(this: &Coordinator, group: &GroupId) {
     let replaced = this
         .directory
         .with(|s| s.order_replaced(group, clock::now()));
-    if let Some(noted) = replaced {
-        tracing::info!(%group, "the ordered instance was replaced at its address: its order is void");
-        forget(this, group, Call::Lead, noted).await;
+    if let Some(intent) = replaced {
+        tracing::info!(%group, "the instance to promote was replaced at its address: its order is void");
+        delete_intent(this, group, Call::Lead, intent).await;
     }
 }
 
-/// Forgets the note of a call that cannot be carried out any more.
-pub(super) async fn forget_expired(this: &Coordinator, group: &GroupId, call: Call) {
+/// Deletes the intent of a call that can no longer be carried out.
+pub(super) async fn delete_expired(this: &Coordinator, group: &GroupId, call: Call) {
     let expired = this
         .directory
         .with(|s| s.note_expired(call, group, clock::now()));
-    if let Some(noted) = expired {
-        forget(this, group, call, noted).await;
+    if let Some(intent) = expired {
+        delete_intent(this, group, call, intent).await;
     }
 }
 
-/// Deletes a note. One that stays lapses, and is deleted then; until then the call is taken for
-/// pending.
-pub(super) async fn forget(this: &Coordinator, group: &GroupId, call: Call, noted: Revision) {
-    let forgotten = this
+/// Deletes an intent. If that fails, the call counts as pending until the intent expires, and the
+/// intent is deleted then.
+pub(super) async fn delete_intent(
+    this: &Coordinator,
+    group: &GroupId,
+    call: Call,
+    intent: Revision,
+) {
+    let deleted = this
         .directory
-        .forget_note(&this.store, call, group, noted)
+        .forget_note(&this.store, call, group, intent)
         .await;
-    if let Err(e) = forgotten {
-        tracing::info!(%group, ?call, cause = %e, "a note was not deleted");
+    if let Err(e) = deleted {
+        tracing::info!(%group, ?call, cause = %e, "an intent was not deleted");
     }
 }
--- a/crates/front/src/coordinator/queries.rs
+++ b/crates/front/src/coordinator/queries.rs
@@ -1,4 +1,4 @@
-//! The coordinator's questions and orders to the instances of one group.
+//! The coordinator's status queries and commands to the instances of one group.
 
 use std::time::Duration;
 
@@ -18,123 +18,127 @@
 use crate::conn::ConnError;
 use crate::group;
 
-/// Longest wait for an instance's answer to a question or an order. A question waits for
-/// a slot of the instance, behind statements of some tens of milliseconds.
-const ANSWER: Duration = Duration::from_millis(500);
+/// Longest wait for an instance's response to a query or command. A query waits for a slot of
+/// the instance, behind statements of some tens of milliseconds.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The same for an instance that did not answer before: a round trip between regions.
-/// Each look waits for the slowest, and writes wait for the change.
-const SILENT_ANSWER: Duration = Duration::from_millis(80);
+/// The same for an instance that did not respond before: a round trip between regions.
+/// Each survey waits for the slowest instance, and writes wait for the change of primary.
+const UNRESPONSIVE_TIMEOUT: Duration = Duration::from_millis(80);
 
-/// The same for a primary that is doubted: it is likely to be gone, and the change waits for
-/// its answer. One that lives answers within a round trip, or after some statements.
-const DOUBTED_ANSWER: Duration = Duration::from_millis(150);
+/// The same for a suspected primary: it has probably failed, and the change waits for its
+/// response. One that runs responds within a round trip, or after some statements.
+const SUSPECTED_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// Asks the group's instances, for the whole change.
-pub(super) struct Links {
+/// Sends queries and commands to a group's instances throughout one change of primary.
+pub(super) struct InstanceQueries {
     pub(super) group: group::Handle,
-    /// The revision at which this proxy took the duty under which it acts.
-    pub(super) duty: Revision,
-    /// The primary that is doubted.
-    doubted: Option<InstanceId>,
-    /// Instances that refused the last question, for want of a slot for instance.
+    /// The epoch of the coordinator role under which this proxy acts.
+    pub(super) epoch: Revision,
+    /// The suspected primary.
+    suspected: Option<InstanceId>,
+    /// Instances that refused the last query, for example because all slots were in use.
     refused: IndexSet<InstanceId>,
-    /// Instances that left a question unanswered; the next looks wait less for them.
-    silent: IndexSet<InstanceId>,
-    /// When the last look began; orders to the platform rest on it.
-    looked_at: Time,
-    /// Instances that were announced at the last look, or answered it.
+    /// Instances that left a query without a response; the next surveys wait less for them.
+    unresponsive: IndexSet<InstanceId>,
+    /// When the last survey began; orders to the platform are based on it.
+    surveyed_at: Time,
+    /// Instances that were announced at the last survey, or responded to it.
     found: IndexSet<Start>,
 }
 
-impl Links {
-    pub(super) fn new(group: group::Handle, duty: Revision) -> Self {
+impl InstanceQueries {
+    pub(super) fn new(group: group::Handle, epoch: Revision) -> Self {
         Self {
             group,
-            duty,
-            doubted: None,
+            epoch,
+            suspected: None,
             refused: IndexSet::new(),
-            silent: IndexSet::new(),
-            looked_at: clock::now(),
+            unresponsive: IndexSet::new(),
+            surveyed_at: clock::now(),
             found: IndexSet::new(),
         }
     }
 
-    /// Links for replacing a primary that is doubted.
-    pub(super) fn to_replace(group: group::Handle, duty: Revision, doubted: InstanceId) -> Self {
+    /// Queries for replacing a suspected primary.
+    pub(super) fn for_suspected(
+        group: group::Handle,
+        epoch: Revision,
+        suspected: InstanceId,
+    ) -> Self {
         Self {
-            doubted: Some(doubted),
-            ..Self::new(group, duty)
+            suspected: Some(suspected),
+            ..Self::new(group, epoch)
         }
     }
 
-    /// When the last look began.
-    pub(super) fn looked_at(&self) -> Time {
-        self.looked_at
+    /// When the last survey began.
+    pub(super) fn surveyed_at(&self) -> Time {
+        self.surveyed_at
     }
 
-    /// Instances that were announced at the last look, or answered it.
+    /// Instances that were announced at the last survey, or responded to it.
     pub(super) fn found(&self) -> &IndexSet<Start> {
         &self.found
     }
 
-    /// Whether an instance left a question unanswered.
-    pub(super) fn is_silent(&self, id: &InstanceId) -> bool {
-        self.silent.contains(id)
+    /// Whether an instance left a query without a response.
+    pub(super) fn is_unresponsive(&self, id: &InstanceId) -> bool {
+        self.unresponsive.contains(id)
     }
 
-    fn limit(&self, id: &InstanceId) -> Duration {
-        if self.is_silent(id) {
-            SILENT_ANSWER
-        } else if self.doubted.as_ref() == Some(id) {
-            DOUBTED_ANSWER
+    fn timeout(&self, id: &InstanceId) -> Duration {
+        if self.is_unresponsive(id) {
+            UNRESPONSIVE_TIMEOUT
+        } else if self.suspected.as_ref() == Some(id) {
+            SUSPECTED_TIMEOUT
         } else {
-            ANSWER
+            RESPONSE_TIMEOUT
         }
     }
 
-    /// Sends a statement to each of the instances and gives what each answered.
+    /// Sends a statement to each of the instances and returns the state in each response.
     ///
-    /// The connections come from the pool, before everything else that waits for one: an
-    /// instance whose connections are all in use accepts no further one, and a replica
-    /// that cannot be heard for that reason would hold up the whole change. They go back at
-    /// once, since proofs of writes need them as well, and no new one counts for those.
-    pub(super) async fn each(
+    /// The connections come from the pool, with priority over all other requests: an instance
+    /// whose connections are all in use accepts no further one, and a replica that cannot be
+    /// queried for that reason would block the whole change. They are returned at once, since
+    /// replica acknowledgements need them too, and a new connection is not eligible for those.
+    pub(super) async fn send_all(
         &mut self,
         entries: &[Entry],
         own: &Own<'_>,
     ) -> IndexMap<InstanceId, State> {
-        let calls = entries.iter().map(|entry| {
-            let limit = self.limit(&entry.id);
+        let requests = entries.iter().map(|entry| {
+            let timeout = self.timeout(&entry.id);
             let group = self.group.clone();
             async move {
-                let lent = group.ask(control(entry, limit)).await;
+                let lent = group.ask(control_request(entry, timeout)).await;
                 let mut lent = lent.map_err(|_| ConnError::Silent)?;
                 let conn = lent.conn().ok_or(ConnError::Silent)?;
-                let state = conn.state(own, limit).await;
+                let state = conn.state(own, timeout).await;
                 if matches!(state, Ok(_) | Err(ConnError::Refused(_))) {
                     lent.give_back();
                 }
                 state
             }
         });
-        let calls: Vec<_> = calls.collect();
-        let answers = future::join_all(calls).await;
+        let requests: Vec<_> = requests.collect();
+        let responses = future::join_all(requests).await;
         let mut states = IndexMap::new();
-        for (entry, answer) in entries.iter().zip(answers) {
+        for (entry, response) in entries.iter().zip(responses) {
             self.refused.shift_remove(&entry.id);
-            match answer {
+            match response {
                 Ok(state) => {
                     states.insert(entry.id.clone(), state);
                 }
                 Err(e) => {
                     let set = match e {
                         ConnError::Refused(_) => &mut self.refused,
-                        _ => &mut self.silent,
+                        _ => &mut self.unresponsive,
                     };
                     set.insert(entry.id.clone());
                     let group = self.group.group();
-                    tracing::info!(%group, instance = %entry.id, asked = ?own, cause = %e, "an instance did not answer the coordinator");
+                    tracing::info!(%group, instance = %entry.id, is_queried = ?own, cause = %e, "an instance did not respond to the coordinator");
                 }
             }
         }
@@ -142,21 +146,21 @@
     }
 
     /// Sends a statement to some of the group's instances.
-    pub(super) async fn some(
+    pub(super) async fn send_to(
         &mut self,
         this: &Coordinator,
-        who: &[InstanceId],
+        ids: &[InstanceId],
         own: &Own<'_>,
     ) -> IndexMap<InstanceId, State> {
         let known = self.entries(this).into_iter();
         let entries: Vec<_> = known
             .map(|(entry, _)| entry)
-            .filter(|entry| who.contains(&entry.id))
+            .filter(|entry| ids.contains(&entry.id))
             .collect();
-        let states = self.each(&entries, own).await;
+        let states = self.send_all(&entries, own).await;
         for entry in &entries {
-            let answered = states.contains_key(&entry.id);
-            this.cx.metrics.told(own, answered);
+            let responded = states.contains_key(&entry.id);
+            this.cx.metrics.told(own, responded);
         }
         states
     }
@@ -166,52 +170,52 @@
         this.directory.with(|s| s.members(self.group.group()))
     }
 
-    /// Asks instances for their states. `asked` says which of them, `near` which are in the
-    /// region of the primary that is to be replaced.
-    pub(super) async fn look(
+    /// Queries the states of instances. `is_queried` selects them; `same_region` tells which are
+    /// in the region of the primary that is to be replaced.
+    pub(super) async fn survey(
         &mut self,
         this: &Coordinator,
-        asked: impl Fn(&Entry) -> bool,
-        near: impl Fn(&Entry) -> bool,
+        is_queried: impl Fn(&Entry) -> bool,
+        same_region: impl Fn(&Entry) -> bool,
     ) -> Vec<InstanceView> {
-        self.looked_at = clock::now();
+        self.surveyed_at = clock::now();
         let known = self.entries(this);
-        let to_ask: Vec<_> = known
+        let to_query: Vec<_> = known
             .iter()
-            .filter(|(entry, _)| asked(entry))
+            .filter(|(entry, _)| is_queried(entry))
             .map(|(entry, _)| entry.clone())
             .collect();
-        let states = self.each(&to_ask, &Own::Status).await;
-        let member = |(entry, listed): &(Entry, bool)| {
+        let states = self.send_all(&to_query, &Own::Status).await;
+        let instance_view = |(entry, announced): &(Entry, bool)| {
             let state = states.get(&entry.id).copied();
             InstanceView {
                 id: entry.id.clone(),
-                announced: *listed,
+                announced: *announced,
                 leaving: entry.leaving,
                 responded: state.is_some() || self.refused.contains(&entry.id),
-                same_region: near(entry),
+                same_region: same_region(entry),
                 state,
             }
         };
-        let members: Vec<_> = known.iter().map(member).collect();
+        let instances: Vec<_> = known.iter().map(instance_view).collect();
         let found = known
             .iter()
-            .filter(|(entry, listed)| *listed || states.contains_key(&entry.id));
+            .filter(|(entry, announced)| *announced || states.contains_key(&entry.id));
         self.found = found
             .map(|(entry, _)| new_instances::start(entry))
             .collect();
-        this.note_look(self.group.group(), &members);
-        members
+        this.observe_primary(self.group.group(), &instances);
+        instances
     }
 }
 
-fn control(entry: &Entry, limit: Duration) -> ConnRequest {
+fn control_request(entry: &Entry, timeout: Duration) -> ConnRequest {
     let now = clock::now();
     ConnRequest {
         kind: Kind::Control(entry.id.clone()),
         own_write: None,
         arrived: now,
-        deadline: now + Span::from(limit),
+        deadline: now + Span::from(timeout),
         priority: 0,
         avoid: None,
         may_wait: true,
--- a/crates/front/src/coordinator/report.rs
+++ b/crates/front/src/coordinator/report.rs
@@ -1,28 +1,28 @@
-//! Log lines about what instances told the coordinator: one for each instance.
+//! Log lines about the state of instances as the coordinator knows it: one for each instance.
 
 use indexmap::IndexMap;
 use model::id::{GroupId, InstanceId};
 use policy::takeover::{InstanceView, State};
 
-/// What instances answered to an order.
-pub(super) fn states(group: &GroupId, states: &IndexMap<InstanceId, State>) {
+/// Logs the states with which instances responded to a command.
+pub(super) fn log_states(group: &GroupId, states: &IndexMap<InstanceId, State>) {
     for (instance, state) in states {
-        line(group, instance, Some(state), None);
+        log_line(group, instance, Some(state), None);
     }
 }
 
-/// What a look at all instances found.
-pub(super) fn members(group: &GroupId, members: &[InstanceView]) {
-    for member in members {
-        line(group, &member.id, member.state.as_ref(), Some(member));
+/// Logs what a survey of all instances found.
+pub(super) fn log_instances(group: &GroupId, instances: &[InstanceView]) {
+    for view in instances {
+        log_line(group, &view.id, view.state.as_ref(), Some(view));
     }
 }
 
-fn line(
+fn log_line(
     group: &GroupId,
     instance: &InstanceId,
     state: Option<&State>,
-    member: Option<&InstanceView>,
+    view: Option<&InstanceView>,
 ) {
     tracing::info!(
         %group,
@@ -31,9 +31,9 @@
         term = state.map(|s| tracing::field::display(s.term)),
         received = state.map(|s| tracing::field::display(s.received)),
         paused = state.map(|s| tracing::field::display(s.paused)),
-        listed = member.map(|m| m.announced),
-        leaving = member.map(|m| m.leaving),
-        alive = member.map(|m| m.responded),
+        listed = view.map(|m| m.announced),
+        leaving = view.map(|m| m.leaving),
+        alive = view.map(|m| m.responded),
         "an instance as the coordinator sees it"
     );
 }
--- a/crates/front/src/coordinator/resume.rs
+++ b/crates/front/src/coordinator/resume.rs
@@ -1,106 +1,110 @@
-//! Letting replicas receive again that were told to stop.
+//! Resumes paused replicas, so that they receive from the primary again.
 
 use model::id::InstanceId;
 use model::position::Revision;
 use platform::line::Own;
 use policy::takeover::{self, InstanceView, Role};
 
-use super::queries::Links;
+use super::queries::InstanceQueries;
 use super::report;
 use super::{Coordinator, order};
 use crate::directory::Call;
 use crate::{clock, group};
 
-/// Lets replicas receive that were told to stop by a change of primary that did not end.
+/// Resumes replicas that were paused by a change of primary that did not finish.
 ///
-/// A coordinator may die, or lose its duty, between stopping them and the order; an order
-/// to stop may be carried out seconds late. Such a replica receives nothing any more, its
-/// reads are refused, and with all of them stopped no write ends.
-pub(super) async fn mend(this: &Coordinator, duty: Revision, group: group::Handle) {
+/// A coordinator may fail, or lose its role, between pausing them and the promotion order; a
+/// pause command may be carried out seconds late. A replica that stays paused receives nothing,
+/// its reads are refused, and with all replicas paused no write completes.
+pub(super) async fn repair(this: &Coordinator, epoch: Revision, group: group::Handle) {
     for call in [Call::Receive, Call::Lead] {
-        order::forget_expired(this, group.group(), call).await;
+        order::delete_expired(this, group.group(), call).await;
     }
-    let mut links = Links::new(group, duty);
-    resume(this, &mut links).await;
+    let mut queries = InstanceQueries::new(group, epoch);
+    resume(this, &mut queries).await;
 }
 
-/// Lets replicas receive that were told to stop, unless an order may still be carried out.
+/// Resumes paused replicas, unless a promotion order may still be carried out.
 ///
-/// Such an order was right while they were stopped: once they receive again, one of them may
-/// acknowledge what its instance lacks. It cannot be made void by ordering the present primary
-/// instead: if it is carried out first, or was taken and is about to be, that takes the lead
-/// back from its instance. So they stay stopped until its instance leads or the order has
-/// lapsed; meanwhile the change is completed.
-pub(super) async fn resume(this: &Coordinator, links: &mut Links) {
-    let group = links.group.group().clone();
-    order::forget_replaced(this, &group).await;
-    let noted = this.directory.with(|s| s.noted(Call::Change, &group));
-    // Without the duty it may be the note of a successor's change.
-    let noted = Some(noted).filter(|noted| *noted > Revision(0) && this.holds(links.duty));
-    // An order that lapses during the look may have been carried out after its answers.
-    let ordered = order::pending(this, &group);
-    let members = links.look(this, |_| true, |_| true).await;
-    let Some(primary) = takeover::leader(&members) else {
+/// Such an order is safe only while they are paused: once they receive again, one of them may
+/// acknowledge writes that the instance to promote lacks. An order for the present primary
+/// cannot void it: if the pending order is carried out first, or was accepted and is about to be
+/// carried out, the new order takes the lead away from its instance. So the replicas stay paused
+/// until that instance leads or the order has expired; meanwhile the change is completed.
+pub(super) async fn resume(this: &Coordinator, queries: &mut InstanceQueries) {
+    let group = queries.group.group().clone();
+    order::delete_replaced(this, &group).await;
+    let intent = this.directory.with(|s| s.noted(Call::Change, &group));
+    // Without the coordinator role it may be the intent of a successor's change.
+    let intent =
+        Some(intent).filter(|intent| *intent > Revision(0) && this.holds_role(queries.epoch));
+    // Read before the survey: an order that expires during the survey may have been carried out
+    // after the instances responded.
+    let pending_order = order::pending(this, &group);
+    let instances = queries.survey(this, |_| true, |_| true).await;
+    let Some(primary) = takeover::leader(&instances) else {
         return;
     };
-    if let Some(ordered) = ordered.filter(|ordered| *ordered != primary.id) {
-        tracing::info!(%group, instance = %ordered, "replicas stay stopped: an order may still be carried out");
+    if let Some(pending_order) = pending_order.filter(|pending_order| *pending_order != primary.id)
+    {
+        tracing::info!(%group, instance = %pending_order, "replicas stay paused: a promotion order may still be carried out");
         return;
     }
     if order::unreadable(this, &group) {
         return;
     }
-    // No order for another instance is pending, so that replicas which have forgotten that
-    // they were stopped may count again.
-    if let Some(noted) = noted {
-        order::forget(this, &group, Call::Change, noted).await;
+    // No order for another instance is pending, so connections to replicas that lost their pause
+    // by a restart may be eligible again.
+    if let Some(intent) = intent {
+        order::delete_intent(this, &group, Call::Change, intent).await;
     }
-    order::void_earlier(this, links, &primary.id).await;
-    let stopped = stopped(&members);
-    if !stopped.is_empty() {
-        receive_again(this, links, &stopped).await;
+    order::void_earlier(this, queries, &primary.id).await;
+    let paused = paused(&instances);
+    if !paused.is_empty() {
+        send_resume(this, queries, &paused).await;
     }
 }
 
-/// Replicas that were told to stop.
-fn stopped(members: &[InstanceView]) -> Vec<InstanceId> {
-    let is_stopped = |m: &&InstanceView| {
+/// Replicas that are paused.
+fn paused(instances: &[InstanceView]) -> Vec<InstanceId> {
+    let is_paused = |m: &&InstanceView| {
         let state = m.state;
         state.is_some_and(|s| s.role == Role::Replica && s.paused.0 > 0)
     };
-    let stopped = members.iter().filter(is_stopped);
-    stopped.map(|m| m.id.clone()).collect()
+    let paused = instances.iter().filter(is_paused);
+    paused.map(|m| m.id.clone()).collect()
 }
 
-/// Tells replicas to receive again.
+/// Sends replicas the resume command.
 ///
-/// Such an order may have no answer and be carried out seconds late, in the middle of the
-/// next change of primary, whose coordinator may be another one. So it is noted in the
-/// store before it is given, and the note goes only when every replica has answered.
-async fn receive_again(this: &Coordinator, links: &mut Links, stopped: &[InstanceId]) {
-    let group = links.group.group().clone();
-    let earlier = this
+/// A command without a response may be carried out seconds late, in the middle of the next
+/// change of primary, whose coordinator may be another one. So its intent is recorded in the
+/// store before it is sent, and deleted only when every replica has responded.
+async fn send_resume(this: &Coordinator, queries: &mut InstanceQueries, paused: &[InstanceId]) {
+    let group = queries.group.group().clone();
+    let earlier_pending = this
         .directory
         .with(|s| s.resume_pending(&group, clock::now()));
-    let noted = match this
+    let intent = match this
         .directory
-        .note(&this.store, links.duty, Call::Receive, &group, &[])
+        .note(&this.store, queries.epoch, Call::Receive, &group, &[])
         .await
     {
-        Ok(noted) => noted,
+        Ok(intent) => intent,
         Err(e) => {
-            tracing::warn!(%group, cause = %e, "replicas stay stopped: the order to receive was not noted");
+            tracing::warn!(%group, cause = %e, "replicas stay paused: the intent to resume them was not recorded");
             return;
         }
     };
-    // A paused process may have lost the duty since; the note stands until it lapses.
-    if !this.holds(links.duty) {
+    // A process that was suspended may have lost the role since; the intent then stays until it
+    // expires.
+    if !this.holds_role(queries.epoch) {
         return;
     }
-    let states = links.some(this, stopped, &Own::Resume).await;
-    tracing::info!(%group, "replicas were told to receive again");
-    report::states(&group, &states);
-    if states.len() == stopped.len() && !earlier {
-        order::forget(this, &group, Call::Receive, noted).await;
+    let states = queries.send_to(this, paused, &Own::Resume).await;
+    tracing::info!(%group, "replicas were sent the resume command");
+    report::log_states(&group, &states);
+    if states.len() == paused.len() && !earlier_pending {
+        order::delete_intent(this, &group, Call::Receive, intent).await;
     }
 }
--- a/crates/front/src/coordinator/takeover.rs
+++ b/crates/front/src/coordinator/takeover.rs
@@ -1,5 +1,5 @@
-//! One change of primary: looks at all instances, stops replicas from receiving, names
-//! the next primary, and lets the replicas receive again.
+//! One change of primary: surveys all instances, pauses the replicas, orders the promotion of
+//! the next primary, and resumes the replicas.
 
 use std::time::Duration;
 
@@ -13,119 +13,120 @@
     self, Cause, InstanceView, OrderResponse, Role, State, Step, Survey, WaitCause,
 };
 
-use super::change_intent::Noting;
-use super::new_instances::Newcomers;
-use super::queries::Links;
+use super::change_intent::ChangeIntent;
+use super::new_instances::NewInstances;
+use super::queries::InstanceQueries;
 use super::report;
-use super::{Coordinator, PAUSE, order, over, resume};
+use super::{Coordinator, POLL_INTERVAL, has_elapsed, order, resume};
 use crate::metrics::Outcome;
 use crate::{clock, group};
 
-/// Longest time of one attempt; then the triggers are looked at anew.
-const LIMIT: Span = Span::from_millis(12_000);
+/// Longest time of one attempt; then the triggers are evaluated again.
+const ATTEMPT_TIMEOUT: Span = Span::from_millis(12_000);
 
-/// The same where the primary is well and only its replicas lag: nothing is lost by
-/// leaving it as it is, and stopped replicas fall further behind.
-const LAG_LIMIT: Span = Span::from_millis(1_500);
+/// The same where the primary is healthy and only its replicas lag: an aborted attempt does no
+/// harm, and paused replicas fall further behind.
+const LAG_ATTEMPT_TIMEOUT: Span = Span::from_millis(1_500);
 
-/// Pause before the next look while the change is about to be noted.
-const NOTE_PAUSE: Duration = Duration::from_millis(5);
+/// Pause before the next survey while the intent of the change is being recorded.
+const INTENT_DELAY: Duration = Duration::from_millis(5);
 
-/// Pause after an order that was not noted, not taken, or had no effect: each try costs the store
-/// a note and the platform an order.
-pub(super) const REFUSED_PAUSE: Duration = Duration::from_millis(300);
+/// Pause after an order whose intent was not recorded, that was not accepted, or that had no
+/// effect: each attempt costs a write to the store and an order to the platform.
+pub(super) const RETRY_DELAY: Duration = Duration::from_millis(300);
 
-/// Pause before the next look while an earlier order stands and the primary is well.
-const UNFINISHED_PAUSE: Duration = Duration::from_millis(500);
+/// Pause before the next survey while an earlier order is pending and the primary is healthy.
+const UNFINISHED_DELAY: Duration = Duration::from_millis(500);
 
-/// Replaces the primary, unless a look at the instances says otherwise.
+/// Replaces the primary, unless a survey of the instances shows no need to.
 pub(super) async fn run(
     this: &Coordinator,
-    duty: Revision,
+    epoch: Revision,
     group: group::Handle,
     old: InstanceId,
     cause: Cause,
 ) {
     let id = group.group().clone();
-    let begun = clock::now();
-    tracing::warn!(group = %id, instance = %old, ?cause, %duty, "a change of primary begins");
-    let noting = Noting::begin(this, &id, duty);
-    let links = match cause {
-        Cause::Doubted => Links::to_replace(group, duty, old.clone()),
-        Cause::Leaving | Cause::Lagging | Cause::Unfinished => Links::new(group, duty),
+    let started = clock::now();
+    tracing::warn!(group = %id, instance = %old, ?cause, duty = %epoch, "a change of primary begins");
+    let intent = ChangeIntent::record(this, &id, epoch);
+    let queries = match cause {
+        Cause::Doubted => InstanceQueries::for_suspected(group, epoch, old.clone()),
+        Cause::Leaving | Cause::Lagging | Cause::Unfinished => InstanceQueries::new(group, epoch),
     };
     let mut change = Change {
-        old,
+        old_primary: old,
         cause,
-        noting,
-        told_to_stop: None,
-        hold: None,
-        ordered: false,
-        led: false,
+        intent,
+        demoted_at: None,
+        last_wait: None,
+        order_sent: false,
+        promoted: false,
         outcome: Outcome::GivenUp,
-        links,
+        queries,
     };
-    while !over(begun, change.limit()) {
-        if !this.holds(duty) {
-            // Whoever holds the duty now lets the replicas receive again, by `mend`.
-            tracing::warn!(group = %id, "the duty was lost during a change of primary");
+    while !has_elapsed(started, change.timeout()) {
+        if !this.holds_role(epoch) {
+            // The next coordinator resumes the replicas, by `resume::repair`.
+            tracing::warn!(group = %id, "the coordinator role was lost during a change of primary");
             this.cx.metrics.change_ended(cause, Outcome::DutyLost);
             return;
         }
-        if change.go_on(this).await {
+        if change.advance(this).await {
             break;
         }
     }
-    let took_ms = clock::now().since(begun).as_millis();
+    let took_ms = clock::now().since(started).as_millis();
     tracing::info!(group = %id, took_ms, "a change of primary ends");
     this.cx.metrics.change_ended(cause, change.outcome);
     if cause == Cause::Lagging {
-        this.lag_backoff.note(&id, change.led);
+        this.lag_backoff.record(&id, change.promoted);
     }
-    let mut links = change.links;
-    resume::resume(this, &mut links).await;
+    let mut queries = change.queries;
+    resume::resume(this, &mut queries).await;
 }
 
 /// A change of primary under way.
 struct Change {
     /// The primary that is to be replaced.
-    old: InstanceId,
+    old_primary: InstanceId,
     cause: Cause,
-    noting: Noting,
-    /// Since when the old primary has been told to stop leading.
-    told_to_stop: Option<Time>,
-    /// Why the last look led to nothing.
-    hold: Option<WaitCause>,
-    /// Whether it has given an order.
-    ordered: bool,
-    /// Whether the ordered instance leads.
-    led: bool,
-    /// How it ended, once it is over.
+    intent: ChangeIntent,
+    /// When the demote command was first sent to the old primary.
+    demoted_at: Option<Time>,
+    /// Why the change waited after the last survey.
+    last_wait: Option<WaitCause>,
+    /// Whether a promotion order was sent.
+    order_sent: bool,
+    /// Whether the instance to promote leads.
+    promoted: bool,
+    /// How the change ended, once it has.
     outcome: Outcome,
-    links: Links,
+    queries: InstanceQueries,
 }
 
 impl Change {
-    fn limit(&self) -> Span {
+    fn timeout(&self) -> Span {
         match self.cause {
-            Cause::Doubted | Cause::Leaving | Cause::Unfinished => LIMIT,
-            Cause::Lagging => LAG_LIMIT,
+            Cause::Doubted | Cause::Leaving | Cause::Unfinished => ATTEMPT_TIMEOUT,
+            Cause::Lagging => LAG_ATTEMPT_TIMEOUT,
         }
     }
 
-    /// Looks at all instances and takes the next step; says whether the change is over.
-    async fn go_on(&mut self, this: &Coordinator) -> bool {
-        let group = self.links.group.clone();
+    /// Surveys all instances and takes the next step; returns whether the change has ended.
+    async fn advance(&mut self, this: &Coordinator) -> bool {
+        let group = self.queries.group.clone();
         let id = group.group();
-        let intent_recorded = self.noting.is_known(this);
-        order::forget_replaced(this, id).await;
-        // Calls that lapse during the look may have been carried out after its answers.
+        let intent_recorded = self.intent.is_mirrored(this);
+        order::delete_replaced(this, id).await;
+        // Read before the survey: calls that expire during it may have been carried out after the
+        // instances responded.
         let may_resume = this.directory.with(|s| s.resume_pending(id, clock::now()));
         let pending_order = order::pending(this, id);
         let known_end = group.view().await.end;
-        let instances = self.look(this, may_resume).await;
-        if done(&instances, &self.old) {
-            return self.end(if self.ordered {
+        let instances = self.survey(this, may_resume).await;
+        if is_replaced(&instances, &self.old_primary) {
+            return self.end(if self.order_sent {
                 Outcome::Led
             } else {
                 Outcome::Abandoned
@@ -141,54 +142,57 @@
             return false;
         }
         let trigger = this.trigger(&group).await.map(|(_, cause)| cause);
-        if self.recovered(trigger, pending_order.is_some()) {
+        if self.update_cause(trigger, pending_order.is_some()) {
             return self.end(Outcome::Abandoned);
         }
-        let told = self.told_to_stop.map(|at| clock::now().since(at));
-        let look = Survey {
+        let elapsed = self.demoted_at.map(|at| clock::now().since(at));
+        let survey = Survey {
             instances,
-            old_primary: self.old.clone(),
+            old_primary: self.old_primary.clone(),
             cause: self.cause,
             known_end,
             may_resume,
             pending_order,
-            since_demote: told,
+            since_demote: elapsed,
             intent_recorded,
         };
-        self.step(this, &look).await
+        self.step(this, &survey).await
     }
 
-    /// Takes the next step; says whether the change is over.
-    async fn step(&mut self, this: &Coordinator, look: &Survey) -> bool {
-        let group = self.links.group.clone();
-        match takeover::next_step(look) {
+    /// Takes the next step; returns whether the change has ended.
+    async fn step(&mut self, this: &Coordinator, survey: &Survey) -> bool {
+        let group = self.queries.group.clone();
+        match takeover::next_step(survey) {
             Step::Abandon => self.end(Outcome::Abandoned),
-            Step::Pause(term, who) => {
-                let states = self.links.some(this, &who, &Own::Pause(term.0)).await;
-                tracing::info!(group = %group.group(), %term, "replicas were told to stop receiving");
-                report::states(group.group(), &states);
+            Step::Pause(term, ids) => {
+                let states = self.queries.send_to(this, &ids, &Own::Pause(term.0)).await;
+                tracing::info!(group = %group.group(), %term, "replicas were sent the pause command");
+                report::log_states(group.group(), &states);
                 false
             }
             Step::Demote(term, old) => {
-                let states = self.links.some(this, &[old], &Own::Demote(term.0)).await;
-                tracing::warn!(group = %group.group(), %term, "the old primary was told to stop leading");
-                report::states(group.group(), &states);
-                self.told_to_stop.get_or_insert_with(clock::now);
+                let states = self
+                    .queries
+                    .send_to(this, &[old], &Own::Demote(term.0))
+                    .await;
+                tracing::warn!(group = %group.group(), %term, "the old primary was sent the demote command");
+                report::log_states(group.group(), &states);
+                self.demoted_at.get_or_insert_with(clock::now);
                 false
             }
-            Step::Wait(hold) => {
-                self.wait(this, hold, &look.instances).await;
+            Step::Wait(cause) => {
+                self.wait(this, cause, &survey.instances).await;
                 false
             }
-            Step::Promote(next) => self.promote(this, &next, &look.instances).await,
+            Step::Promote(next) => self.promote(this, &next, &survey.instances).await,
         }
     }
 
-    /// Takes over what is the matter now; says whether nothing is, so that the change ends. While
-    /// an order is pending it is completed.
-    fn recovered(&mut self, trigger: Option<Cause>, pending: bool) -> bool {
-        // A primary that was told to stop does not recover.
-        let may_recover = self.cause == Cause::Doubted && self.told_to_stop.is_none();
+    /// Adopts the cause that holds now; returns whether there is none, so that the change ends.
+    /// A change with a pending order is completed even then.
+    fn update_cause(&mut self, trigger: Option<Cause>, pending: bool) -> bool {
+        // A primary that was sent the demote command does not recover.
+        let may_recover = self.cause == Cause::Doubted && self.demoted_at.is_none();
         match trigger {
             Some(Cause::Doubted) => self.cause = Cause::Doubted,
             _ if may_recover && pending => self.cause = Cause::Unfinished,
@@ -198,51 +202,51 @@
         false
     }
 
-    /// Makes orders for the primary itself void, before which it must not be told to stop.
-    async fn void_earlier(&mut self, this: &Coordinator, members: &[InstanceView]) {
-        if !order::void_earlier(this, &self.links, &self.old).await {
-            self.wait(this, WaitCause::OrderPending, members).await;
+    /// Voids pending orders for the primary itself; it must not be demoted before that.
+    async fn void_earlier(&mut self, this: &Coordinator, instances: &[InstanceView]) {
+        if !order::void_earlier(this, &self.queries, &self.old_primary).await {
+            self.wait(this, WaitCause::OrderPending, instances).await;
         }
     }
 
-    /// Asks all instances. A doubted primary that was silent is asked again only if a replica
-    /// could still receive from it: one that is missing, or that is told so by an earlier
-    /// order. Otherwise its answer would be waited for in vain.
-    async fn look(&mut self, this: &Coordinator, resume_pending: bool) -> Vec<InstanceView> {
-        let known = self.links.entries(this);
-        let old = known.iter().find(|(entry, _)| entry.id == self.old);
+    /// Queries all instances. A suspected primary that did not respond is queried again only if a
+    /// replica could still receive from it: one that is not announced, or that an earlier resume
+    /// command may reach. Otherwise the survey would wait for its response in vain.
+    async fn survey(&mut self, this: &Coordinator, resume_pending: bool) -> Vec<InstanceView> {
+        let known = self.queries.entries(this);
+        let old = known.iter().find(|(entry, _)| entry.id == self.old_primary);
         let home = old.map(|(entry, _)| entry.data_centre.clone());
         let complete = known
             .iter()
-            .all(|(entry, listed)| *listed || entry.id == self.old);
-        let silent = self.links.is_silent(&self.old);
-        let needless = silent && complete && self.cause == Cause::Doubted && !resume_pending;
-        let old = self.old.clone();
-        let asked = |entry: &Entry| !(needless && entry.id == old);
+            .all(|(entry, announced)| *announced || entry.id == self.old_primary);
+        let unresponsive = self.queries.is_unresponsive(&self.old_primary);
+        let needless = unresponsive && complete && self.cause == Cause::Doubted && !resume_pending;
+        let old = self.old_primary.clone();
+        let is_queried = |entry: &Entry| !(needless && entry.id == old);
         let distances = this.cx.distances();
-        let near = |entry: &Entry| {
+        let in_region = |entry: &Entry| {
             let home = home.as_ref();
             home.is_none_or(|home| distances.same_region(home, &entry.data_centre))
         };
-        self.links.look(this, asked, near).await
+        self.queries.survey(this, is_queried, in_region).await
     }
 
-    async fn wait(&mut self, this: &Coordinator, hold: WaitCause, members: &[InstanceView]) {
-        if self.hold != Some(hold) {
-            let group = self.links.group.group();
-            tracing::warn!(%group, cause = %hold, "the change of primary waits");
-            report::members(group, members);
-            this.cx.metrics.change_waits(hold);
+    async fn wait(&mut self, this: &Coordinator, cause: WaitCause, instances: &[InstanceView]) {
+        if self.last_wait != Some(cause) {
+            let group = self.queries.group.group();
+            tracing::warn!(%group, cause = %cause, "the change of primary waits");
+            report::log_instances(group, instances);
+            this.cx.metrics.change_waits(cause);
         }
-        self.hold = Some(hold);
-        compio::time::sleep(self.pause(hold)).await;
+        self.last_wait = Some(cause);
+        compio::time::sleep(self.delay(cause)).await;
     }
 
-    const fn pause(&self, hold: WaitCause) -> Duration {
+    const fn delay(&self, cause: WaitCause) -> Duration {
         match self.cause {
-            _ if matches!(hold, WaitCause::Unnoted) => NOTE_PAUSE,
-            Cause::Unfinished => UNFINISHED_PAUSE,
-            Cause::Doubted | Cause::Leaving | Cause::Lagging => PAUSE,
+            _ if matches!(cause, WaitCause::Unnoted) => INTENT_DELAY,
+            Cause::Unfinished => UNFINISHED_DELAY,
+            Cause::Doubted | Cause::Leaving | Cause::Lagging => POLL_INTERVAL,
         }
     }
 
@@ -250,74 +254,76 @@
         &mut self,
         this: &Coordinator,
         next: &InstanceId,
-        members: &[InstanceView],
+        instances: &[InstanceView],
     ) -> bool {
-        let group = self.links.group.clone();
-        report::members(group.group(), members);
-        let basis = order::Basis::new(&self.links);
-        let term = takeover::newest_term(members).next();
-        let mut newcomers = Newcomers::new(&self.links, term);
-        let give = order::give(this, Purpose::Change, &basis, next);
-        let given = newcomers.stop_during(this, &mut self.links, give).await;
-        let Some(given) = given else {
-            compio::time::sleep(REFUSED_PAUSE).await;
+        let group = self.queries.group.clone();
+        report::log_instances(group.group(), instances);
+        let basis = order::OrderBasis::new(&self.queries);
+        let term = takeover::newest_term(instances).next();
+        let mut new_instances = NewInstances::new(&self.queries, term);
+        let send = order::send(this, Purpose::Change, &basis, next);
+        let sent = new_instances
+            .pause_during(this, &mut self.queries, send)
+            .await;
+        let Some(sent) = sent else {
+            compio::time::sleep(RETRY_DELAY).await;
             return false;
         };
-        self.ordered = true;
-        let accepted = given.answer == Some(OrderResponse::Accepted);
-        let until = given.at + policy::order::leader_wait(given.answer);
-        self.led = leads(this, &mut self.links, next, newcomers, until).await;
-        if self.led {
+        self.order_sent = true;
+        let accepted = sent.response == Some(OrderResponse::Accepted);
+        let until = sent.at + policy::order::leader_wait(sent.response);
+        self.promoted = wait_until_leads(this, &mut self.queries, next, new_instances, until).await;
+        if self.promoted {
             tracing::warn!(group = %group.group(), instance = %next, "the primary was replaced");
-            this.promotions.note(group.group(), next);
+            this.promotions.record(group.group(), next);
             group.expect_primary(next);
         }
-        given.settle(this, group.group(), self.led).await;
-        if self.led {
+        sent.settle(this, group.group(), self.promoted).await;
+        if self.promoted {
             return self.end(Outcome::Led);
         }
-        compio::time::sleep(REFUSED_PAUSE).await;
-        // Whoever leads by an order that was taken, it may not be the old primary any more.
+        compio::time::sleep(RETRY_DELAY).await;
+        // After an accepted order, the old primary may no longer be the one that leads.
         accepted
     }
 
-    /// Notes how the change ended; says that it is over.
+    /// Stores the outcome; returns `true`, as the change has ended.
     fn end(&mut self, outcome: Outcome) -> bool {
         self.outcome = outcome;
         true
     }
 }
 
-/// Whether another instance than the old primary leads the newest term.
-fn done(members: &[InstanceView], old: &InstanceId) -> bool {
-    let newest = takeover::newest_term(members);
-    members
+/// Whether an instance other than the old primary leads the newest term.
+fn is_replaced(instances: &[InstanceView], old: &InstanceId) -> bool {
+    let newest = takeover::newest_term(instances);
+    instances
         .iter()
         .any(|m| m.id != *old && takeover::leads(m, newest))
 }
 
-/// Waits until the ordered instance leads, or for so long.
+/// Waits until the instance to promote leads, at most until `until`; returns whether it does.
 ///
-/// The old primary may come back meanwhile, under another id even: as long as the others stay
-/// stopped it acknowledges only what the next one has received.
-async fn leads(
+/// The old primary may return meanwhile, even under another id: as long as the other replicas
+/// stay paused, it acknowledges only writes that the next primary has received.
+async fn wait_until_leads(
     this: &Coordinator,
-    links: &mut Links,
+    queries: &mut InstanceQueries,
     next: &InstanceId,
-    mut newcomers: Newcomers,
+    mut new_instances: NewInstances,
     until: Time,
 ) -> bool {
     while clock::now() < until {
-        newcomers.stop(this, links).await;
-        let states = links
-            .some(this, std::slice::from_ref(next), &Own::Status)
+        new_instances.pause(this, queries).await;
+        let states = queries
+            .send_to(this, std::slice::from_ref(next), &Own::Status)
             .await;
-        let leads = |s: &State| s.role == Role::Primary && s.term >= newcomers.term;
+        let leads = |s: &State| s.role == Role::Primary && s.term >= new_instances.term;
         let leads = states.get(next).is_some_and(leads);
         if leads {
             return true;
         }
-        compio::time::sleep(PAUSE).await;
+        compio::time::sleep(POLL_INTERVAL).await;
     }
     false
 }
