--- a/crates/front/src/distance.rs
+++ b/crates/front/src/distance.rs
@@ -1,4 +1,4 @@
-//! How far data centres are apart, before anything was measured.
+//! Assumed round trips between data centres, used before any was measured.
 
 use std::rc::Rc;
 
@@ -9,13 +9,13 @@
 /// Round trip within a data centre.
 const SAME_DATA_CENTRE: Span = Span::from_micros(500);
 
-/// Round trip between data centres of a region; the operators name 0.5 to 1.4 ms one way.
+/// Round trip between data centres of a region; the operators state 0.5 to 1.4 ms one way.
 const SAME_REGION: Span = Span::from_millis(3);
 
-/// Round trip between regions; the operators name 20 ms one way.
+/// Round trip between regions; the operators state 20 ms one way.
 const OTHER_REGION: Span = Span::from_millis(40);
 
-/// Where this proxy runs, and which region each data centre belongs to.
+/// The data centre of this proxy, and the region of each data centre.
 #[derive(Clone, Debug)]
 pub struct Distances {
     here: DataCentre,
@@ -23,7 +23,7 @@
 }
 
 impl Distances {
-    /// The ways from a data centre.
+    /// The distances from a data centre.
     pub fn new(here: DataCentre, regions: IndexMap<DataCentre, Region>) -> Self {
         Self {
             here,
@@ -37,7 +37,7 @@
         one == other || (region.is_some() && region == self.regions.get(other))
     }
 
-    /// The usual round trip to a data centre.
+    /// The assumed round trip to a data centre.
     pub fn round_trip(&self, there: &DataCentre) -> Span {
         if *there == self.here {
             return SAME_DATA_CENTRE;
--- a/crates/front/src/health.rs
+++ b/crates/front/src/health.rs
@@ -1,8 +1,7 @@
-//! What proxies find wrong with the groups' primaries, for the coordinator.
+//! Reports of proxies to the coordinator about problems with the groups' primaries.
 //!
-//! Each group's task puts its own findings up here; a report loop sends them straight to
-//! the coordinator, since the way through the store may be cut while the one to the
-//! coordinator is not.
+//! Each group's task stores its own findings here; a report loop sends them directly to the
+//! coordinator, since the store may be unreachable while the coordinator is not.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -13,126 +12,128 @@
 use policy::primary_monitor::Suspicion;
 use serde::{Deserialize, Serialize};
 
-/// Time for which a report counts: a few of the pauses between two of them.
-const KEPT: Span = Span::from_millis(1_000);
+/// Time for which a report is valid: a few times the interval between two reports.
+const REPORT_VALIDITY: Span = Span::from_millis(1_000);
 
-/// Time for which the coordinator must not have heard the concerns before they are written
-/// to the store: two tries. Each doubt that is written there wakes every proxy twice.
-const UNHEARD: Span = Span::from_millis(300);
+/// Time without delivery of the reports to the coordinator after which they are written to the
+/// store: two attempts. Each suspicion that is written there wakes every proxy twice.
+const STORE_FALLBACK_DELAY: Span = Span::from_millis(300);
 
-/// What a proxy finds wrong with a group.
+/// The problems that a proxy finds in a group.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GroupReport {
-    /// The doubt about the primary.
+    /// The suspected primary, and why it is suspected.
     #[serde(rename = "doubt")]
     pub suspicion: Option<(InstanceId, Suspicion)>,
-    /// Whether no replica holds what reads need.
+    /// Whether no replica holds the writes that reads need.
     pub lags: bool,
 }
 
-/// Concerns by group; groups without any are left out.
+/// Reports by group; groups without problems are left out.
 pub type Reports = IndexMap<GroupId, GroupReport>;
 
-/// The concerns of this proxy, and those that others told it.
+/// This proxy's own reports, and those that it received from others.
 #[derive(Clone, Default)]
 pub struct ReportBoard(Rc<Inner>);
 
 #[derive(Default)]
 struct Inner {
     own: RefCell<Reports>,
-    told: RefCell<IndexMap<ProxyId, (Reports, Time)>>,
-    /// Since when the coordinator has not heard this proxy's concerns.
-    unheard_since: Cell<Option<Time>>,
+    received: RefCell<IndexMap<ProxyId, (Reports, Time)>>,
+    /// Since when this proxy's reports have not been delivered to the coordinator.
+    undelivered_since: Cell<Option<Time>>,
 }
 
 impl ReportBoard {
-    /// Takes over this proxy's concern about a group.
-    pub fn set_own(&self, group: &GroupId, concern: GroupReport) {
+    /// Sets this proxy's report about a group, and logs what changed.
+    pub fn set_own(&self, group: &GroupId, report: GroupReport) {
         let mut own = self.0.own.borrow_mut();
         let known = own.get(group).cloned().unwrap_or_default();
-        if known != concern {
-            note(group, &known, &concern);
+        if known != report {
+            log_change(group, &known, &report);
         }
-        if concern == GroupReport::default() {
+        if report == GroupReport::default() {
             own.shift_remove(group);
         } else {
-            own.insert(group.clone(), concern);
+            own.insert(group.clone(), report);
         }
     }
 
-    /// This proxy's concerns.
+    /// This proxy's reports.
     pub fn own(&self) -> Reports {
         self.0.own.borrow().clone()
     }
 
-    /// Notes whether the coordinator heard this proxy's concerns.
-    pub fn set_delivered(&self, heard: bool, now: Time) {
-        let since = self.0.unheard_since.get();
-        let since = if heard { None } else { since.or(Some(now)) };
-        self.0.unheard_since.set(since);
+    /// Records whether this proxy's reports were delivered to the coordinator.
+    pub fn set_delivered(&self, delivered: bool, now: Time) {
+        let since = self.0.undelivered_since.get();
+        let since = if delivered { None } else { since.or(Some(now)) };
+        self.0.undelivered_since.set(since);
     }
 
-    /// This proxy's concerns, if the coordinator has not heard them for a while: they go
-    /// through the store then.
+    /// This proxy's reports if they could not be delivered for a while, so that they are written
+    /// to the store.
     pub fn undelivered(&self, now: Time) -> Reports {
-        let since = self.0.unheard_since.get();
-        if since.is_some_and(|at| now.since(at) >= UNHEARD) {
+        let since = self.0.undelivered_since.get();
+        if since.is_some_and(|at| now.since(at) >= STORE_FALLBACK_DELAY) {
             self.own()
         } else {
             Reports::default()
         }
     }
 
-    /// Takes over another proxy's concerns, all of them.
+    /// Replaces all reports of a proxy by those that it sent.
     pub fn receive(&self, by: ProxyId, reports: Reports, now: Time) {
-        let mut told = self.0.told.borrow_mut();
-        let known = told.get(&by);
+        let mut received = self.0.received.borrow_mut();
+        let known = received.get(&by);
         if known.is_none_or(|(known, _)| *known != reports) {
-            note_report(&by, &reports);
+            log_report(&by, &reports);
         }
-        told.insert(by, (reports, now));
+        received.insert(by, (reports, now));
     }
 
-    /// What proxies told about a group a short time ago.
+    /// The valid reports about a group, with the proxies that sent them.
     pub fn for_group(&self, group: &GroupId, now: Time) -> Vec<(ProxyId, GroupReport)> {
-        let told = self.0.told.borrow();
-        let fresh = told.iter().filter(|(_, (_, at))| now.since(*at) <= KEPT);
-        let about = fresh
+        let received = self.0.received.borrow();
+        let fresh = received
+            .iter()
+            .filter(|(_, (_, at))| now.since(*at) <= REPORT_VALIDITY);
+        let of_group = fresh
             .filter_map(|(proxy, (reports, _))| Some((proxy.clone(), reports.get(group)?.clone())));
-        about.collect()
+        of_group.collect()
     }
 }
 
-fn note(group: &GroupId, known: &GroupReport, new: &GroupReport) {
+fn log_change(group: &GroupId, known: &GroupReport, new: &GroupReport) {
     match (&known.suspicion, &new.suspicion) {
         (None, None) => {}
         (Some((instance, _)), None) => {
-            tracing::info!(%group, %instance, "this proxy no longer doubts the primary");
+            tracing::info!(%group, %instance, "this proxy no longer suspects the primary");
         }
         (_, Some((instance, cause))) => {
-            tracing::warn!(%group, %instance, ?cause, "this proxy doubts the primary");
+            tracing::warn!(%group, %instance, ?cause, "this proxy suspects the primary");
         }
     }
     if known.lags != new.lags {
         let lags = new.lags;
-        tracing::info!(%group, lags, "whether no replica holds what reads need has changed");
+        tracing::info!(%group, lags, "whether all replicas lag behind what reads need has changed");
     }
 }
 
-/// One line for each group that a proxy reports about.
-fn note_report(by: &ProxyId, reports: &Reports) {
+/// Logs one line for each group in the reports of a proxy.
+fn log_report(by: &ProxyId, reports: &Reports) {
     if reports.is_empty() {
         tracing::info!(%by, "a proxy reports that nothing is wrong");
     }
-    for (group, concern) in reports {
-        let doubt = concern.suspicion.as_ref();
-        let (instance, cause) = doubt.map(|(id, cause)| (id, cause)).unzip();
+    for (group, report) in reports {
+        let suspicion = report.suspicion.as_ref();
+        let (instance, cause) = suspicion.map(|(id, cause)| (id, cause)).unzip();
         tracing::info!(
             %by,
             %group,
             instance = instance.map(tracing::field::display),
             cause = cause.map(tracing::field::debug),
-            lags = concern.lags,
+            lags = report.lags,
             "a proxy reports"
         );
     }
--- a/crates/front/src/pending_changes.rs
+++ b/crates/front/src/pending_changes.rs
@@ -1,9 +1,9 @@
-//! Which connections count for the proof that a replica holds a write: those that were open
-//! at a moment without a change of primary, as the store tells.
+//! Which connections are eligible for replica acknowledgements: those that were open at a time
+//! when the store showed no pending change of primary.
 //!
-//! Load: hundreds of proxies restart at once, and none has a connection that counts. Harm when
-//! each asks the store: some questions a second from every proxy. So a proxy asks the
-//! neighbour that reads the store for its data centre, which asks once for all that wait.
+//! When hundreds of proxies restart at once, none has an eligible connection. If each queried
+//! the store, it would receive several queries a second from every proxy. So a proxy queries the
+//! store reader of its data centre, which sends one query on behalf of all that wait.
 
 use std::cell::RefCell;
 use std::future::Future;
@@ -21,41 +21,42 @@
 use crate::clock;
 use crate::directory;
 
-/// Pause after the store did not answer.
-const AFTER_FAILURE: Duration = Duration::from_millis(300);
+/// Pause after the store did not respond.
+const RETRY_DELAY: Duration = Duration::from_millis(300);
 
-/// How long a question that no write waits for may wait for others.
-const GATHER: Span = Span::from_millis(200);
+/// How long a query that no write waits for may be delayed, to be batched with others.
+const BATCH_DELAY: Span = Span::from_millis(200);
 
-/// Pause between two such questions of one proxy.
-const REFRESH_PAUSE: Duration = Duration::from_millis(1_000);
+/// Interval between two such queries of one proxy.
+const REFRESH_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// Groups with a change of primary under way.
+/// Groups with a pending change of primary.
 pub type ChangingGroups = Rc<IndexSet<GroupId>>;
 
-/// A question: who waits for its answer, and until when it may be put off.
-type Question = (flume::Sender<ChangingGroups>, Time);
+/// A query: the sender for its reply, and the time until which it may be delayed.
+type Query = (flume::Sender<ChangingGroups>, Time);
 
-/// What the store told about changes of primary that are under way.
+/// What the store reported about pending changes of primary.
 ///
-/// Only its answers to a question count, dated from when it was asked. A watch may be told
-/// nothing for its whole wait, and a neighbour's news have no date of this process.
+/// Only replies to a query are used, dated by the time at which the query was sent. A watch may
+/// receive nothing for its whole wait, and the updates of a store reader carry no time of this
+/// process's clock.
 #[derive(Clone, Default)]
 pub struct Changes {
-    told: Rc<RefCell<Told>>,
-    /// Questions of writes that wait.
+    state: Rc<RefCell<State>>,
+    /// Queries on behalf of waiting writes.
     urgent: Queue,
-    /// Questions that nobody waits for.
+    /// Queries whose reply nobody waits for.
     refresh: Queue,
-    /// Questions for the store itself.
+    /// Queries to the store itself.
     store: Queue,
 }
 
-/// Questions that are not asked yet.
+/// Queries that are not sent yet.
 #[derive(Clone)]
 struct Queue {
-    tx: flume::Sender<Question>,
-    rx: flume::Receiver<Question>,
+    tx: flume::Sender<Query>,
+    rx: flume::Receiver<Query>,
 }
 
 impl Default for Queue {
@@ -66,167 +67,172 @@
 }
 
 impl Queue {
-    fn add(&self, by: Time) -> flume::Receiver<ChangingGroups> {
+    fn add(&self, send_by: Time) -> flume::Receiver<ChangingGroups> {
         let (tx, rx) = flume::bounded(1);
-        // The other end is kept beside this one.
-        let _ = self.tx.send((tx, by));
+        // Sending can't fail: the queue holds the receiver too.
+        let _ = self.tx.send((tx, send_by));
         rx
     }
 
-    /// The questions that one answer will do for: it must be asked for after the last of them
-    /// came.
+    /// Waits for queries that one reply can serve, and returns their senders. The shared query must
+    /// be sent after the last of them arrived.
     async fn next(&self) -> Option<Vec<flume::Sender<ChangingGroups>>> {
-        let (first, mut by) = self.rx.recv_async().await.ok()?;
-        let mut asking = vec![first];
+        let (first, mut send_by) = self.rx.recv_async().await.ok()?;
+        let mut waiters = vec![first];
         loop {
-            for (tx, sooner) in self.rx.drain() {
-                asking.push(tx);
-                by = by.min(sooner);
+            for (tx, earlier) in self.rx.drain() {
+                waiters.push(tx);
+                send_by = send_by.min(earlier);
             }
-            let left = by.since(clock::now()).as_duration();
-            if left.is_zero() {
-                return Some(asking);
+            let remaining = send_by.since(clock::now()).as_duration();
+            if remaining.is_zero() {
+                return Some(waiters);
             }
-            if let Ok(Ok((tx, sooner))) = compio::time::timeout(left, self.rx.recv_async()).await {
-                asking.push(tx);
-                by = by.min(sooner);
+            if let Ok(Ok((tx, earlier))) =
+                compio::time::timeout(remaining, self.rx.recv_async()).await
+            {
+                waiters.push(tx);
+                send_by = send_by.min(earlier);
             }
         }
     }
 }
 
 #[derive(Default)]
-struct Told {
-    /// When the newest answer was asked for.
-    asked: Time,
-    counted: EligibleBefore,
-    /// The same for groups with a change under way: as it was before.
+struct State {
+    /// When the query of the newest reply was sent.
+    queried_at: Time,
+    eligible: EligibleBefore,
+    /// The same for groups with a pending change: the state before the change.
     changing: IndexMap<GroupId, EligibleBefore>,
 }
 
-impl Told {
-    fn take(&mut self, asked: Time, noted: &IndexSet<GroupId>) {
-        if asked < self.asked {
-            // A later answer has told more.
+impl State {
+    fn record_reply(&mut self, queried_at: Time, changing: &IndexSet<GroupId>) {
+        if queried_at < self.queried_at {
+            // The reply to a later query is already recorded.
             return;
         }
-        self.asked = asked;
-        self.changing.retain(|group, _| noted.contains(group));
-        for group in noted {
-            let before = self.counted;
-            self.changing.entry(group.clone()).or_insert(before);
+        self.queried_at = queried_at;
+        self.changing.retain(|group, _| changing.contains(group));
+        for group in changing {
+            let previous = self.eligible;
+            self.changing.entry(group.clone()).or_insert(previous);
         }
-        self.counted.record_no_change(asked);
+        self.eligible.record_no_change(queried_at);
     }
 }
 
 impl Changes {
-    /// Whether a connection to the group counts that was opened at this time.
+    /// Whether a connection to the group that was opened at this time is eligible.
     pub fn is_eligible(&self, group: &GroupId, opened: Time) -> bool {
-        let told = self.told.borrow();
-        let counted = told.changing.get(group).unwrap_or(&told.counted);
-        counted.is_eligible(opened)
+        let state = self.state.borrow();
+        let eligible = state.changing.get(group).unwrap_or(&state.eligible);
+        eligible.is_eligible(opened)
     }
 
-    /// Takes over an answer of the store: it was asked at `asked` and held notes of changes of
-    /// these groups.
-    pub fn record_reply(&self, asked: Time, noted: &IndexSet<GroupId>) {
-        self.told.borrow_mut().take(asked, noted);
+    /// Records a reply of the store to a query sent at `queried_at`, which listed intents to change
+    /// the primaries of these groups.
+    pub fn record_reply(&self, queried_at: Time, changing: &IndexSet<GroupId>) {
+        self.state.borrow_mut().record_reply(queried_at, changing);
     }
 
-    /// Asks on behalf of a write that waits. The receiver is closed without an answer if
-    /// nobody can be asked.
+    /// Sends a query on behalf of a waiting write. The receiver is closed without a reply if
+    /// neither the store reader nor the store responds.
     pub fn query(&self) -> flume::Receiver<ChangingGroups> {
         self.urgent.add(clock::now())
     }
 
-    /// Asks for the time when a write will need it.
+    /// Sends a query in advance, before a write needs the reply.
     pub fn refresh(&self) {
-        // Nobody waits for the answer.
+        // Nobody waits for the reply.
         drop(self.refresh.add(clock::now()));
     }
 
-    /// Asks the store itself, after at most `within`.
+    /// Queries the store itself, after at most `within`.
     pub fn query_store(&self, within: Span) -> flume::Receiver<ChangingGroups> {
         self.store.add(clock::now() + within)
     }
 
-    /// Asks for as long as the process runs; those who ask meanwhile share a question.
-    /// `neighbour` asks the neighbour that reads the store, which may put the question off for
-    /// the time given.
-    pub async fn serve<F>(self, client: Client, neighbour: impl Fn(Span) -> F)
+    /// Sends queries for as long as the process runs; callers that wait at the same time share one.
+    /// `store_reader` queries the store reader, which may delay the query for the time given.
+    pub async fn serve<F>(self, client: Client, store_reader: impl Fn(Span) -> F)
     where
         F: Future<Output = Option<ChangingGroups>>,
     {
         let client = client.counted_for(Purpose::Changes);
         futures_util::join!(
             self.serve_store(&client),
-            self.serve_urgent(&neighbour),
-            self.serve_refresh(&neighbour),
+            self.serve_urgent(&store_reader),
+            self.serve_refresh(&store_reader),
         );
     }
 
     async fn serve_store(&self, client: &Client) {
-        while let Some(asking) = self.store.next().await {
-            let asked = clock::now();
-            let noted = noted(client).await.map(Rc::new);
-            if let Some(noted) = &noted {
-                self.record_reply(asked, noted);
-                for tx in asking {
-                    // One that no longer waits needs no answer.
-                    let _ = tx.send(noted.clone());
+        while let Some(waiters) = self.store.next().await {
+            let queried_at = clock::now();
+            let changing = list_changing(client).await.map(Rc::new);
+            if let Some(changing) = &changing {
+                self.record_reply(queried_at, changing);
+                for tx in waiters {
+                    // Fails only if the caller no longer waits.
+                    let _ = tx.send(changing.clone());
                 }
             } else {
-                drop(asking);
-                compio::time::sleep(AFTER_FAILURE).await;
+                drop(waiters);
+                compio::time::sleep(RETRY_DELAY).await;
             }
         }
     }
 
-    async fn serve_urgent<F>(&self, neighbour: impl Fn(Span) -> F)
+    async fn serve_urgent<F>(&self, store_reader: impl Fn(Span) -> F)
     where
         F: Future<Output = Option<ChangingGroups>>,
     {
-        while let Some(asking) = self.urgent.next().await {
-            let noted = self.answer(Span::from_millis(0), &neighbour).await;
-            for tx in asking {
-                if let Some(noted) = &noted {
-                    let _ = tx.send(noted.clone());
+        while let Some(waiters) = self.urgent.next().await {
+            let changing = self.fetch(Span::from_millis(0), &store_reader).await;
+            for tx in waiters {
+                if let Some(changing) = &changing {
+                    let _ = tx.send(changing.clone());
                 }
             }
         }
     }
 
-    async fn serve_refresh<F>(&self, neighbour: impl Fn(Span) -> F)
+    async fn serve_refresh<F>(&self, store_reader: impl Fn(Span) -> F)
     where
         F: Future<Output = Option<ChangingGroups>>,
     {
         while self.refresh.next().await.is_some() {
-            self.answer(GATHER, &neighbour).await;
-            compio::time::sleep(REFRESH_PAUSE).await;
+            self.fetch(BATCH_DELAY, &store_reader).await;
+            compio::time::sleep(REFRESH_INTERVAL).await;
         }
     }
 
-    /// Asks a neighbour, or else the store.
-    async fn answer<F>(&self, within: Span, neighbour: impl Fn(Span) -> F) -> Option<ChangingGroups>
+    /// Queries the store reader, or else the store.
+    async fn fetch<F>(
+        &self,
+        within: Span,
+        store_reader: impl Fn(Span) -> F,
+    ) -> Option<ChangingGroups>
     where
         F: Future<Output = Option<ChangingGroups>>,
     {
-        // The store is asked later than this, so an answer to the neighbour has this date.
-        let asked = clock::now();
-        if let Some(noted) = neighbour(within).await {
-            self.record_reply(asked, &noted);
-            return Some(noted);
+        // The store is queried later than this, so the store reader's reply is valid as of now.
+        let queried_at = clock::now();
+        if let Some(changing) = store_reader(within).await {
+            self.record_reply(queried_at, &changing);
+            return Some(changing);
         }
         self.query_store(within).recv_async().await.ok()
     }
 }
 
-async fn noted(client: &Client) -> Option<IndexSet<GroupId>> {
+async fn list_changing(client: &Client) -> Option<IndexSet<GroupId>> {
     match kv::list(client, directory::Call::Change.prefix()).await {
         Ok(listing) => Some(directory::noted(&listing)),
         Err(e) => {
-            tracing::info!(cause = %e, "the store did not tell whether a change of primary is under way");
+            tracing::info!(cause = %e, "the pending changes of primary could not be read from the store");
             None
         }
     }
--- a/crates/front/src/registration.rs
+++ b/crates/front/src/registration.rs
@@ -1,5 +1,5 @@
-//! This proxy's place in the store: its lease, its key, its doubts, and the duty to
-//! coordinate changes of primary.
+//! This proxy's registration in the store: its lease, its key, its suspicions, and the
+//! coordinator role for changes of primary.
 
 mod coordinator_lease;
 mod lease;
@@ -22,105 +22,106 @@
 use crate::clock;
 use crate::cx::Cx;
 use crate::directory::{Announced, DOUBTS, Directory, PROXIES};
-use coordinator_lease::Duty;
+use coordinator_lease::CoordinatorLease;
 use lease::Lease;
 
-/// Time after which a silent proxy loses its place; one that pauses for less keeps it.
-const LEASE: Duration = Duration::from_millis(6_000);
+/// Time without renewal after which a proxy loses its registration; one that is suspended for a
+/// shorter time keeps it.
+const LEASE_TTL: Duration = Duration::from_millis(6_000);
 
-/// Pause between two renewals: two may be lost before the lease ends.
-const RENEW: Span = Span::from_millis(1_800);
+/// Interval between two renewals: two may be lost before the lease expires.
+const RENEW_INTERVAL: Span = Span::from_millis(1_800);
 
-/// Pause between two looks at doubts.
-const LOOK: Span = Span::from_millis(100);
+/// Interval between two checks for suspicions to write or delete.
+const CHECK_INTERVAL: Span = Span::from_millis(100);
 
-/// This proxy's standing.
+/// This proxy's registration and its coordinator role.
 pub struct Registration {
-    /// Its name.
+    /// The proxy's name.
     pub id: ProxyId,
     announced_as: Announced,
     lease: Cell<Option<Lease>>,
-    duty: Rc<Duty>,
-    /// Doubts in the store, with the revisions that they were written at.
-    doubts: RefCell<IndexMap<GroupId, (InstanceId, Revision)>>,
+    coordinator_lease: Rc<CoordinatorLease>,
+    /// Suspicions in the store, with the revisions at which they were written.
+    suspicions: RefCell<IndexMap<GroupId, (InstanceId, Revision)>>,
     announced: Cell<bool>,
-    /// Whether the process stops: it must not announce itself again.
-    left: Cell<bool>,
+    /// Whether the process is stopping, and must not announce itself again.
+    stopping: Cell<bool>,
 }
 
 impl Registration {
-    /// A proxy without a place yet.
+    /// A proxy that is not registered yet.
     pub fn new(id: ProxyId, announced_as: Announced) -> Self {
-        let duty = Rc::new(Duty::new(id.clone()));
+        let coordinator_lease = Rc::new(CoordinatorLease::new(id.clone()));
         Self {
             id,
-            duty,
+            coordinator_lease,
             announced_as,
             lease: Cell::new(None),
-            doubts: RefCell::default(),
+            suspicions: RefCell::default(),
             announced: Cell::new(false),
-            left: Cell::new(false),
+            stopping: Cell::new(false),
         }
     }
 
-    /// The revision at which this proxy took the duty to coordinate, while it is sure to
-    /// hold it.
+    /// The epoch of this proxy's coordinator role: the revision at which it took the role. `None`
+    /// unless it certainly holds the role now.
     pub fn coordinator_epoch(&self, directory: &Directory) -> Option<Revision> {
-        self.duty.held(directory)
+        self.coordinator_lease.epoch(directory)
     }
 
-    /// Keeps the place for as long as the process runs.
+    /// Maintains the registration until the process stops.
     pub async fn run(
         self: Rc<Self>,
         cx: Rc<Cx>,
         directory: Directory,
         client: Client,
-        least: Duration,
+        min_ttl: Duration,
     ) {
         let client = client.counted_for(Purpose::Registration);
-        let duty = self.duty.clone();
-        let keep_duty = duty.keep(
+        let coordinator_lease = self.coordinator_lease.clone();
+        let hold_role = coordinator_lease.run(
             directory.clone(),
             client.counted_for(Purpose::CoordinatorRole),
-            least,
+            min_ttl,
         );
-        compio::runtime::spawn(keep_duty).detach();
+        compio::runtime::spawn(hold_role).detach();
         let report = report::run(self.id.clone(), cx.clone(), directory);
         compio::runtime::spawn(report).detach();
-        let ttl = LEASE.max(least);
+        let ttl = LEASE_TTL.max(min_ttl);
         let mut renew = clock::now();
-        let mut lost: Option<Time> = None;
-        while !self.left.get() {
+        let mut failing_since: Option<Time> = None;
+        while !self.stopping.get() {
             let now = clock::now();
             if now >= renew {
-                renew = now + RENEW;
+                renew = now + RENEW_INTERVAL;
                 let renewed = self.renew(&client, ttl).await;
-                note(&mut lost, now, renewed.err());
+                log_renewal(&mut failing_since, now, renewed.err());
             }
-            let placed = lost.is_none() && self.lease.get().is_some();
-            if placed && let Err(e) = self.look(&cx, &client).await {
-                tracing::info!(cause = %e, "a key was not written");
+            let registered = failing_since.is_none() && self.lease.get().is_some();
+            if registered && let Err(e) = self.write_keys(&cx, &client).await {
+                tracing::info!(cause = %e, "a key of this proxy was not written");
             }
-            clock::sleep_until(clock::now() + LOOK).await;
+            clock::sleep_until(clock::now() + CHECK_INTERVAL).await;
         }
     }
 
     async fn renew(&self, client: &Client, ttl: Duration) -> Result<(), Error> {
         if let Some(held) = self.lease.get() {
-            let kept = lease::renew(client, held.id, ttl).await?;
-            self.lease.set(kept);
-            if kept.is_some() {
+            let renewed = lease::renew(client, held.id, ttl).await?;
+            self.lease.set(renewed);
+            if renewed.is_some() {
                 return Ok(());
             }
-            tracing::warn!(lease = held.id.0, "the lease has ended");
+            tracing::warn!(lease = held.id.0, "the lease has expired");
         }
         self.lease.set(Some(lease::grant(client, ttl).await?));
         self.announced.set(false);
-        self.doubts.borrow_mut().clear();
+        self.suspicions.borrow_mut().clear();
         Ok(())
     }
 
-    async fn look(&self, cx: &Cx, client: &Client) -> Result<(), Error> {
+    async fn write_keys(&self, cx: &Cx, client: &Client) -> Result<(), Error> {
         let Some(Lease { id: lease, .. }) = self.lease.get() else {
             return Ok(());
         };
@@ -131,67 +132,70 @@
             self.announced.set(true);
         }
         let reports = cx.reports.undelivered(clock::now());
-        let mut groups: Vec<_> = self.doubts.borrow().keys().cloned().collect();
+        let mut groups: Vec<_> = self.suspicions.borrow().keys().cloned().collect();
         groups.extend(reports.keys().cloned());
         for group in groups {
-            let doubt = reports.get(&group).and_then(|c| c.suspicion.clone());
-            self.tell(client, &group, doubt, lease).await?;
+            let suspicion = reports.get(&group).and_then(|c| c.suspicion.clone());
+            self.write_suspicion(client, &group, suspicion, lease)
+                .await?;
         }
         Ok(())
     }
 
-    async fn tell(
+    async fn write_suspicion(
         &self,
         client: &Client,
         group: &GroupId,
-        doubt: Option<(InstanceId, policy::primary_monitor::Suspicion)>,
+        suspicion: Option<(InstanceId, policy::primary_monitor::Suspicion)>,
         lease: LeaseId,
     ) -> Result<(), Error> {
-        let told = self.doubts.borrow().get(group).cloned();
+        let previous = self.suspicions.borrow().get(group).cloned();
         let key = format!("{DOUBTS}{group}/{}", self.id);
-        match (told, doubt) {
-            (told, Some((instance, cause)))
-                if told.as_ref().is_none_or(|(told, _)| *told != instance) =>
+        match (previous, suspicion) {
+            (previous, Some((instance, cause)))
+                if previous
+                    .as_ref()
+                    .is_none_or(|(previous, _)| *previous != instance) =>
             {
                 let written = kv::put(client, &key, instance.as_str().as_bytes(), lease).await?;
-                tracing::info!(%group, %instance, ?cause, "a doubt was written to the store: the coordinator does not hear it");
-                let mut doubts = self.doubts.borrow_mut();
-                doubts.insert(group.clone(), (instance, written));
+                tracing::info!(%group, %instance, ?cause, "a suspicion was written to the store: it could not be delivered to the coordinator");
+                let mut suspicions = self.suspicions.borrow_mut();
+                suspicions.insert(group.clone(), (instance, written));
             }
             (Some((instance, written)), None) => {
                 kv::delete(client, &key, written).await?;
-                tracing::info!(%group, %instance, "a doubt was taken back from the store");
-                self.doubts.borrow_mut().shift_remove(group);
+                tracing::info!(%group, %instance, "a suspicion was deleted from the store");
+                self.suspicions.borrow_mut().shift_remove(group);
             }
             _ => {}
         }
         Ok(())
     }
 
-    /// Gives the place up, so that another proxy can take the duty at once.
+    /// Ends the registration, so that another proxy can take the coordinator role at once.
     pub async fn leave(&self, client: &Client) {
-        self.left.set(true);
-        self.duty.leave(client).await;
+        self.stopping.set(true);
+        self.coordinator_lease.leave(client).await;
         let Some(lease) = self.lease.take() else {
             return;
         };
         if let Err(e) = kv::end(client, lease.id).await {
-            tracing::info!(cause = %e, "the lease was not ended; it lapses");
+            tracing::info!(cause = %e, "the lease was not revoked; it will expire");
         }
     }
 }
 
-/// Logs when renewals begin to fail and when they work again.
-fn note(lost: &mut Option<Time>, now: Time, failure: Option<Error>) {
-    match (failure, &lost) {
+/// Logs when renewals begin to fail and when they succeed again.
+fn log_renewal(failing_since: &mut Option<Time>, now: Time, failure: Option<Error>) {
+    match (failure, &failing_since) {
         (Some(e), None) => {
-            *lost = Some(now);
+            *failing_since = Some(now);
             tracing::warn!(cause = %e, "the lease was not renewed");
         }
         (None, Some(since)) => {
             let out_ms = now.since(*since).as_millis();
             tracing::info!(out_ms, "the lease is renewed again");
-            *lost = None;
+            *failing_since = None;
         }
         _ => {}
     }
--- a/crates/front/src/registration/coordinator_lease.rs
+++ b/crates/front/src/registration/coordinator_lease.rs
@@ -1,7 +1,8 @@
-//! The duty to coordinate changes of primary, which one proxy holds at a time.
+//! The coordinator role for changes of primary, which one proxy holds at a time.
 //!
-//! It is a key of the store under a lease of its own. The lease is shorter than that of the
-//! proxy's place: while a coordinator is dead and its lease runs, no primary is replaced.
+//! The role is a key of the store under a lease of its own. The lease is shorter than that of
+//! the proxy's registration: no primary is replaced between a coordinator's failure and the
+//! expiry of its lease.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -22,57 +23,58 @@
 use crate::clock;
 use crate::directory::{COORDINATOR, Directory};
 
-/// Time after which a silent coordinator loses the duty. With 4 s, a primary that went
-/// together with the coordinator was replaced 5 s later, with this 3 s. Shorter would lose
-/// the duty in a pause of the store of a few hundred milliseconds.
-const LEASE: Duration = Duration::from_millis(2_000);
+/// Time without renewal after which a coordinator loses the role. With 4 s, a primary that failed
+/// together with the coordinator was replaced after 5 s; with this value, after 3 s. With a
+/// shorter one, a stall of the store of a few hundred milliseconds would cost the role.
+const LEASE_TTL: Duration = Duration::from_millis(2_000);
 
-/// Pause between two renewals: one may be lost, and the next takes the store's time limit
-/// of 500 ms, before the lease ends.
-const RENEW: Span = Span::from_millis(600);
+/// Interval between two renewals: one may be lost, and the next may take the store's time limit
+/// of 500 ms, before the lease expires.
+const RENEW_INTERVAL: Span = Span::from_millis(600);
 
-/// Pause between two looks at the key.
-const LOOK: Span = Span::from_millis(100);
+/// Interval between two checks of the key.
+const CHECK_INTERVAL: Span = Span::from_millis(100);
 
-/// Pause after a failure. Load: the store turns many proxies away, and each finds the duty
-/// empty. Harm without it: each asks ten times a second, and the operators pay for all.
-const AFTER_FAILURE: Span = Span::from_millis(500);
+/// Pause after a failure. Where the store rejects the requests of many proxies, each of them finds
+/// the role vacant; without this pause, each would send ten requests a second, all of which the
+/// operators pay for.
+const RETRY_DELAY: Span = Span::from_millis(500);
 
-/// This process's claim to the duty.
-pub(super) struct Duty {
+/// This process's claim to the coordinator role.
+pub(super) struct CoordinatorLease {
     id: ProxyId,
-    /// Written into the key: tells this process from an earlier one of the same name.
+    /// Value of the key, which distinguishes this process from an earlier one of the same name.
     nonce: String,
     lease: Cell<Option<Lease>>,
-    /// Whether the process stops: it must not take the duty again that it gives up.
-    left: Cell<bool>,
+    /// Whether the process is stopping, and must not take the role again after releasing it.
+    stopping: Cell<bool>,
 }
 
-/// Whose the key is.
+/// Who holds the key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Holder {
     Nobody,
     Ours,
-    /// An earlier process of this proxy, which has ended.
+    /// An earlier process of this proxy, which has exited.
     Predecessor(Revision),
     Another,
 }
 
-impl Duty {
-    /// A process without the duty.
+impl CoordinatorLease {
+    /// A process without the role.
     pub(super) fn new(id: ProxyId) -> Self {
         let nonce = format!("{id} {:016x}", rand::rng().random::<u64>());
         Self {
             id,
             nonce,
             lease: Cell::new(None),
-            left: Cell::new(false),
+            stopping: Cell::new(false),
         }
     }
 
-    /// The revision at which this process took the duty, while it is sure to hold it and knows
-    /// what its predecessors had noted by then.
-    pub(super) fn held(&self, directory: &Directory) -> Option<Revision> {
+    /// The revision at which this process took the role. `None` unless it certainly holds the role
+    /// now and its mirror includes all intents that its predecessors recorded before that.
+    pub(super) fn epoch(&self, directory: &Directory) -> Option<Revision> {
         let lease = self.lease.get()?;
         if clock::now() >= lease.until {
             return None;
@@ -98,34 +100,34 @@
         Holder::Another
     }
 
-    /// Takes the duty whenever nobody has it, and keeps it.
-    pub(super) async fn keep(
+    /// Takes the role whenever nobody holds it, and renews its lease.
+    pub(super) async fn run(
         self: Rc<Self>,
         directory: Directory,
         client: Client,
-        least: Duration,
+        min_ttl: Duration,
     ) {
-        let ttl = LEASE.max(least);
+        let ttl = LEASE_TTL.max(min_ttl);
         let mut renew = clock::now();
-        while !self.left.get() {
+        while !self.stopping.get() {
             let known = directory.with(|s| {
                 let holder = self.holder(s.coordinator());
                 (s.revision() > Revision(0)).then_some(holder)
             });
-            let done = match known {
+            let result = match known {
                 Some(Holder::Ours) if clock::now() >= renew => {
-                    renew = clock::now() + RENEW;
+                    renew = clock::now() + RENEW_INTERVAL;
                     self.renew(&client, ttl).await
                 }
-                Some(Holder::Nobody) => self.stand(&directory, &client, ttl, Revision(0)).await,
-                Some(Holder::Predecessor(at)) => self.stand(&directory, &client, ttl, at).await,
+                Some(Holder::Nobody) => self.campaign(&directory, &client, ttl, Revision(0)).await,
+                Some(Holder::Predecessor(at)) => self.campaign(&directory, &client, ttl, at).await,
                 Some(Holder::Ours | Holder::Another) | None => Ok(()),
             };
-            if let Err(e) = done {
+            if let Err(e) = result {
                 tracing::info!(cause = %e, "the coordinator's key or lease was not written");
-                clock::sleep_until(clock::now() + AFTER_FAILURE).await;
+                clock::sleep_until(clock::now() + RETRY_DELAY).await;
             }
-            clock::sleep_until(clock::now() + LOOK).await;
+            clock::sleep_until(clock::now() + CHECK_INTERVAL).await;
         }
     }
 
@@ -133,35 +135,35 @@
         let Some(held) = self.lease.get() else {
             return Ok(());
         };
-        let kept = lease::renew(client, held.id, ttl).await?;
-        if kept.is_none() {
-            tracing::warn!("the coordinator's lease has ended");
+        let renewed = lease::renew(client, held.id, ttl).await?;
+        if renewed.is_none() {
+            tracing::warn!("the coordinator's lease has expired");
         }
-        self.lease.set(kept);
+        self.lease.set(renewed);
         Ok(())
     }
 
-    /// Asks for the duty, whose key was changed last at `expected`. The answer may be lost;
-    /// whoever holds the duty is read from the key.
-    async fn stand(
+    /// Runs as a candidate for the role, whose key was last changed at `expected`. The response may
+    /// be lost; the key tells who holds the role.
+    async fn campaign(
         &self,
         directory: &Directory,
         client: &Client,
         ttl: Duration,
         expected: Revision,
     ) -> Result<(), Error> {
-        let pause =
+        let delay =
             directory.with(|s| election::candidacy_delay(&self.id, s.live(), &mut rand::rng()));
-        compio::time::sleep(pause.as_duration()).await;
+        compio::time::sleep(delay.as_duration()).await;
         let at = |record: &Record| record.revision;
         let taken = directory.with(|s| s.coordinator().map_or(Revision(0), at)) != expected;
-        if taken || self.left.get() {
+        if taken || self.stopping.get() {
             return Ok(());
         }
         let lease = self.usable_lease(client, ttl).await?;
         let nonce = self.nonce.as_bytes();
-        // The watch may tell of the outcome a second later: without taking it over from
-        // the answer, the key would seem free until then and be asked for again.
+        // The watch may deliver the outcome a second later. Unless it is taken from the response,
+        // the key would seem free until then, and this process would send another request.
         match kv::swap(client, COORDINATOR, expected, nonce, lease.id).await? {
             Outcome::Applied(revision) => {
                 tracing::info!(%revision, "this proxy coordinates changes of primary");
@@ -177,7 +179,7 @@
                     directory.note_coordinator(held);
                 }
                 if !ours {
-                    self.give_up(client, lease.id).await;
+                    self.end_lease(client, lease.id).await;
                 }
             }
             Outcome::Unknown => {}
@@ -185,8 +187,8 @@
         Ok(())
     }
 
-    /// The lease of an earlier claim whose answer was lost, as the key may be written under
-    /// it, or a new one.
+    /// The lease of an earlier claim whose response was lost, as the key may have been written
+    /// under it; otherwise a new one.
     async fn usable_lease(&self, client: &Client, ttl: Duration) -> Result<Lease, Error> {
         if let Some(lease) = self.lease.get().filter(|l| clock::now() < l.until) {
             return Ok(lease);
@@ -196,18 +198,18 @@
         Ok(lease)
     }
 
-    async fn give_up(&self, client: &Client, lease: LeaseId) {
+    async fn end_lease(&self, client: &Client, lease: LeaseId) {
         self.lease.set(None);
         if let Err(e) = kv::end(client, lease).await {
-            tracing::info!(cause = %e, "a lease was not ended; it lapses");
+            tracing::info!(cause = %e, "the coordinator's lease was not revoked; it will expire");
         }
     }
 
-    /// Gives the duty up, so that another proxy can take it at once.
+    /// Releases the role, so that another proxy can take it at once.
     pub(super) async fn leave(&self, client: &Client) {
-        self.left.set(true);
+        self.stopping.set(true);
         if let Some(lease) = self.lease.get() {
-            self.give_up(client, lease.id).await;
+            self.end_lease(client, lease.id).await;
         }
     }
 }
--- a/crates/front/src/registration/lease.rs
+++ b/crates/front/src/registration/lease.rs
@@ -1,4 +1,4 @@
-//! Leases of the store, with the time until which their holder may count on them.
+//! Leases of the store, with the time until which their holder may rely on them.
 
 use std::time::Duration;
 
@@ -10,46 +10,46 @@
 
 use crate::clock;
 
-/// Kept back of a lease: a holder stops before another can begin, also with clocks that
-/// run a little differently.
-const MARGIN: Span = Span::from_millis(300);
+/// Subtracted from a lease's duration, so that a holder stops before another can begin even if
+/// their clocks run at slightly different rates.
+const SAFETY_MARGIN: Span = Span::from_millis(300);
 
 /// A lease that this process holds.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Lease {
-    /// Its number.
+    /// Its id in the store.
     pub(super) id: LeaseId,
-    /// Until when it holds for certain: the store counts from the arrival of a call, which
-    /// is not before the call was sent.
+    /// Until when it is certainly valid: the store measures from the arrival of a call, which is
+    /// not before the call was sent.
     pub(super) until: Time,
 }
 
 impl Lease {
-    fn since(id: LeaseId, asked: Time, ttl: Duration) -> Self {
+    fn starting_at(id: LeaseId, sent_at: Time, ttl: Duration) -> Self {
         let ttl = Span::from(ttl)
             .as_micros()
-            .saturating_sub(MARGIN.as_micros());
+            .saturating_sub(SAFETY_MARGIN.as_micros());
         Self {
             id,
-            until: asked + Span::from_micros(ttl),
+            until: sent_at + Span::from_micros(ttl),
         }
     }
 }
 
-/// Asks for a new lease.
+/// Requests a new lease.
 pub(super) async fn grant(client: &Client, ttl: Duration) -> Result<Lease, Error> {
-    let asked = clock::now();
+    let sent_at = clock::now();
     let id = kv::grant(client, ttl).await?;
-    Ok(Lease::since(id, asked, ttl))
+    Ok(Lease::starting_at(id, sent_at, ttl))
 }
 
-/// Renews a lease; `None` if it has ended.
+/// Renews a lease; `None` if it has expired.
 pub(super) async fn renew(
     client: &Client,
     id: LeaseId,
     ttl: Duration,
 ) -> Result<Option<Lease>, Error> {
-    let asked = clock::now();
-    let kept = kv::keep(client, id).await?;
-    Ok(kept.then(|| Lease::since(id, asked, ttl)))
+    let sent_at = clock::now();
+    let renewed = kv::keep(client, id).await?;
+    Ok(renewed.then(|| Lease::starting_at(id, sent_at, ttl)))
 }
--- a/crates/front/src/registration/report.rs
+++ b/crates/front/src/registration/report.rs
@@ -1,8 +1,9 @@
-//! Telling the coordinator what is wrong, straight and not through the store.
+//! Sends this proxy's reports to the coordinator directly, not through the store.
 //!
-//! Load: a primary is cut off together with the store from most proxies, or the store turns
-//! some of them away. Harm without it: their doubts cannot be written, and the primary is
-//! replaced only when their leases have lapsed; callers saw no writes for five seconds more.
+//! A partition may separate a primary together with the store from most proxies, or the store
+//! may reject the requests of some proxies. Without direct reports, their suspicions cannot be
+//! written, and the primary is replaced only after their leases have expired: callers could not
+//! write for five seconds more.
 
 use std::rc::Rc;
 
@@ -14,36 +15,36 @@
 use crate::directory::Directory;
 use crate::health::Reports;
 
-/// Pause between two looks at the concerns. A doubt takes 0.6 s to arise.
-const LOOK: Span = Span::from_millis(100);
+/// Interval between two checks of the reports. A suspicion takes 0.6 s to arise.
+const CHECK_INTERVAL: Span = Span::from_millis(100);
 
-/// Looks after which unchanged concerns are told again; the coordinator forgets them after
-/// a second.
-const AGAIN: u32 = 3;
+/// Number of checks after which unchanged reports are sent again; the coordinator drops them
+/// after a second.
+const REPEAT_AFTER: u32 = 3;
 
 /// Reports for as long as the process runs.
 pub(super) async fn run(me: ProxyId, cx: Rc<Cx>, directory: Directory) {
-    let mut told = Reports::default();
-    let mut looks = 0;
+    let mut delivered_reports = Reports::default();
+    let mut checks = 0;
     loop {
-        clock::sleep_until(clock::now() + LOOK).await;
+        clock::sleep_until(clock::now() + CHECK_INTERVAL).await;
         let own = cx.reports.own();
-        looks += 1;
-        let due = own != told || (!own.is_empty() && looks >= AGAIN);
+        checks += 1;
+        let due = own != delivered_reports || (!own.is_empty() && checks >= REPEAT_AFTER);
         if !due {
             continue;
         }
-        let heard = tell(&me, &cx, &directory, &own).await;
-        cx.reports.set_delivered(heard, clock::now());
-        if heard {
-            told = own;
-            looks = 0;
+        let delivered = send(&me, &cx, &directory, &own).await;
+        cx.reports.set_delivered(delivered, clock::now());
+        if delivered {
+            delivered_reports = own;
+            checks = 0;
         }
     }
 }
 
-/// Tells the coordinator, if there is one; says whether it heard.
-async fn tell(me: &ProxyId, cx: &Cx, directory: &Directory, own: &Reports) -> bool {
+/// Sends the reports to the coordinator, if there is one; returns whether they were delivered.
+async fn send(me: &ProxyId, cx: &Cx, directory: &Directory, own: &Reports) -> bool {
     let Some(coordinator) = directory.with(|s| s.coordinator_name()) else {
         return false;
     };
--- a/crates/front/tests/pending_changes.rs
+++ b/crates/front/tests/pending_changes.rs
@@ -1,4 +1,4 @@
-//! Which connections count for proofs of writes while changes of primary come and go.
+//! Which connections are eligible for replica acknowledgements during changes of primary.
 
 use std::time::Duration;
 
@@ -19,75 +19,78 @@
     names.iter().map(|name| name.parse().unwrap()).collect()
 }
 
-/// Guards against a replica that counts although it restarted during a change of primary, and
-/// against a change of one group that holds up the writes of another.
+/// Guards against a connection that is eligible although its replica restarted during a change of
+/// primary, and against a change of one group that delays the writes of another.
 #[test]
-fn connections_opened_during_a_change_count_after_it() {
+fn connections_opened_during_a_change_are_eligible_after_it() {
     let changes = Changes::default();
-    let counts = |name: &str, opened| changes.is_eligible(&name.parse().unwrap(), at(opened));
-    assert!(!counts("a", 5));
+    let is_eligible = |name: &str, opened| changes.is_eligible(&name.parse().unwrap(), at(opened));
+    assert!(!is_eligible("a", 5));
     changes.record_reply(at(10), &groups(&[]));
-    assert!(counts("a", 5) && counts("b", 5));
+    assert!(is_eligible("a", 5) && is_eligible("b", 5));
     changes.record_reply(at(30), &groups(&["a"]));
-    assert!(counts("a", 5), "it was open before the change");
-    assert!(!counts("a", 20), "it may be that of a restarted instance");
-    assert!(counts("b", 20));
+    assert!(is_eligible("a", 5), "it was open before the change");
+    assert!(
+        !is_eligible("a", 20),
+        "it may be that of a restarted instance"
+    );
+    assert!(is_eligible("b", 20));
     changes.record_reply(at(40), &groups(&["a"]));
-    assert!(!counts("a", 20));
+    assert!(!is_eligible("a", 20));
     changes.record_reply(at(50), &groups(&[]));
-    assert!(counts("a", 45));
+    assert!(is_eligible("a", 45));
 }
 
-/// Guards against the first answer that a proxy hears in the middle of a change.
+/// Guards against connections that a proxy's first reply, received during a change, makes eligible.
 #[test]
-fn nothing_counts_for_a_proxy_that_starts_during_a_change() {
+fn no_connection_is_eligible_for_a_proxy_that_starts_during_a_change() {
     let changes = Changes::default();
     changes.record_reply(at(10), &groups(&["a"]));
     assert!(!changes.is_eligible(&"a".parse().unwrap(), at(5)));
 }
 
-/// Guards against an answer that comes late, by a neighbour, and ends a change that a later
-/// one told of.
+/// Guards against a delayed reply of a store reader that ends a change which the reply to a later
+/// query showed.
 #[test]
-fn an_earlier_answer_undoes_no_later_one() {
+fn an_earlier_reply_does_not_replace_a_later_one() {
     let changes = Changes::default();
     changes.record_reply(at(10), &groups(&[]));
     changes.record_reply(at(30), &groups(&["a"]));
     changes.record_reply(at(20), &groups(&[]));
-    let counts = |opened| changes.is_eligible(&"a".parse().unwrap(), at(opened));
-    assert!(counts(5) && !counts(15));
+    let is_eligible = |opened| changes.is_eligible(&"a".parse().unwrap(), at(opened));
+    assert!(is_eligible(5) && !is_eligible(15));
 }
 
-/// Proxies that ask one of them for what the store tells, and that one's client.
+/// Proxies that query one store reader, and the reader's client of the store.
 fn data_centre(managed: &Managed, size: usize) -> (Vec<Changes>, Client) {
     let client = Client::new(vec![format!("http://{}", managed.address())]).unwrap();
     let reader = Changes::default();
-    let ask = async |_: Span| None;
-    compio::runtime::spawn(reader.clone().serve(client.clone(), ask)).detach();
+    let store_reader = async |_: Span| None;
+    compio::runtime::spawn(reader.clone().serve(client.clone(), store_reader)).detach();
     let followers: Vec<_> = (0..size).map(|_| Changes::default()).collect();
     for follower in &followers {
         let (reader, follower) = (reader.clone(), follower.clone());
         let client = client.clone();
         compio::runtime::spawn(async move {
-            let ask = |within| {
-                let answer = reader.query_store(within);
-                async move { answer.recv_async().await.ok() }
+            let store_reader = |within| {
+                let reply = reader.query_store(within);
+                async move { reply.recv_async().await.ok() }
             };
-            follower.serve(client, ask).await;
+            follower.serve(client, store_reader).await;
         })
         .detach();
     }
     (followers, client)
 }
 
-fn questions(client: &Client) -> u64 {
+fn queries(client: &Client) -> u64 {
     let calls = client.calls().by_purpose();
-    let about_changes = calls.filter(|(purpose, ..)| *purpose == Purpose::Changes);
-    about_changes.map(|(.., count)| count).sum()
+    let for_changes = calls.filter(|(purpose, ..)| *purpose == Purpose::Changes);
+    for_changes.map(|(.., count)| count).sum()
 }
 
-/// Waits until a connection that was opened at this time counts for all.
-async fn all_count(proxies: &[Changes], opened: Time) {
+/// Waits until a connection that was opened at this time is eligible for all proxies.
+async fn all_eligible(proxies: &[Changes], opened: Time) {
     let group = "a".parse().unwrap();
     while !proxies.iter().all(|c| c.is_eligible(&group, opened)) {
         compio::time::sleep(Duration::from_millis(5)).await;
@@ -98,10 +101,10 @@
     compio::runtime::Runtime::new().unwrap().block_on(work);
 }
 
-/// Guards against a restart of hundreds of proxies after which each asks the store, some
-/// times, whether its new connections count.
+/// Guards against hundreds of restarted proxies that each query the store several times about
+/// the eligibility of their new connections.
 #[test]
-fn one_question_does_for_a_data_centre_that_restarts() {
+fn one_query_serves_a_data_centre_that_restarts() {
     run(async {
         let managed = Managed::start(1).unwrap();
         let (proxies, client) = data_centre(&managed, 33);
@@ -110,15 +113,15 @@
         for changes in &proxies {
             changes.refresh();
         }
-        all_count(&proxies, opened).await;
-        assert_eq!(questions(&client), 1);
+        all_eligible(&proxies, opened).await;
+        assert_eq!(queries(&client), 1);
     });
 }
 
-/// Guards against a write that waits behind questions that nobody waits for: it is asked for
-/// at once, and takes them along.
+/// Guards against a write that waits for the batching delay of queries that nobody waits for: its
+/// query is sent at once, and serves the others too.
 #[test]
-fn a_write_that_waits_takes_the_other_questions_along() {
+fn the_query_of_a_waiting_write_serves_delayed_queries() {
     run(async {
         let managed = Managed::start(1).unwrap();
         let (proxies, client) = data_centre(&managed, 2);
@@ -127,15 +130,15 @@
         proxies[0].refresh();
         compio::time::sleep(Duration::from_millis(1)).await;
         assert!(proxies[1].query().recv_async().await.is_ok());
-        all_count(&proxies, opened).await;
-        assert_eq!(questions(&client), 1);
+        all_eligible(&proxies, opened).await;
+        assert_eq!(queries(&client), 1);
     });
 }
 
-/// Guards against callers that wait for their time limit because a store that is away is asked
-/// on their behalf.
+/// Guards against callers that wait for their time limit because the store that is queried on
+/// their behalf is unreachable.
 #[test]
-fn a_question_ends_without_an_answer_when_nobody_can_be_asked() {
+fn a_query_ends_without_a_reply_when_the_store_is_unreachable() {
     run(async {
         let managed = Managed::start(1).unwrap();
         managed.set_store_fault(StoreFault::Away);
--- a/crates/front/tests/report.rs
+++ b/crates/front/tests/report.rs
@@ -1,4 +1,4 @@
-//! Reports of proxies to the coordinator, past the store.
+//! Reports of proxies to the coordinator, which do not pass through the store.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -23,17 +23,17 @@
     name.parse().unwrap()
 }
 
-fn doubt() -> Reports {
+fn suspicion() -> Reports {
     let instance: InstanceId = "i-1".parse().unwrap();
-    let concern = GroupReport {
+    let group_report = GroupReport {
         suspicion: Some((instance, Suspicion::Unreachable)),
         lags: false,
     };
-    [(group(), concern)].into_iter().collect()
+    [(group(), group_report)].into_iter().collect()
 }
 
-/// The store turns a proxy away that has lost a primary. Its doubt reaches the coordinator
-/// all the same, over the connections between proxies.
+/// The store rejects the requests of a proxy that has lost contact with a primary. Its suspicion
+/// still reaches the coordinator, over the connections between proxies.
 #[test]
 fn a_report_reaches_the_coordinator_without_the_store() {
     let runtime = compio::runtime::Runtime::new().unwrap();
@@ -48,50 +48,50 @@
         for _ in 0..2 {
             assert!(
                 client
-                    .report(&proxy("c"), address, &proxy("p"), &doubt())
+                    .report(&proxy("c"), address, &proxy("p"), &suspicion())
                     .await
             );
         }
-        let about = cx.reports.for_group(&group(), clock::now());
-        assert_eq!(about, [(proxy("p"), doubt()[&group()].clone())]);
-        let nobody: SocketAddr = "127.0.0.1:9".parse().unwrap();
+        let reports = cx.reports.for_group(&group(), clock::now());
+        assert_eq!(reports, [(proxy("p"), suspicion()[&group()].clone())]);
+        let unreachable: SocketAddr = "127.0.0.1:9".parse().unwrap();
         assert!(
             !client
-                .report(&proxy("gone"), nobody, &proxy("p"), &doubt())
+                .report(&proxy("gone"), unreachable, &proxy("p"), &suspicion())
                 .await
         );
     });
 }
 
-/// The coordinator is out of reach, or there is none: doubts go through the store, but not
+/// The coordinator is unreachable, or there is none: suspicions are written to the store, but not
 /// in the usual case, where each would wake every proxy of the fleet.
 #[test]
-fn what_the_coordinator_does_not_hear_goes_through_the_store() {
+fn undelivered_reports_are_written_to_the_store() {
     let board = ReportBoard::default();
-    board.set_own(&group(), doubt()[&group()].clone());
+    board.set_own(&group(), suspicion()[&group()].clone());
     let now = clock::now() + Span::from_millis(10_000);
     let after = |ms| now + Span::from_millis(ms);
     board.set_delivered(false, now);
     assert!(board.undelivered(after(200)).is_empty());
     board.set_delivered(false, after(250));
-    assert_eq!(board.undelivered(after(350)), doubt());
+    assert_eq!(board.undelivered(after(350)), suspicion());
     board.set_delivered(true, after(400));
     assert!(board.undelivered(after(900)).is_empty());
 }
 
-/// A proxy that is cut off stops reporting; what it told last does not count for long.
+/// A partitioned proxy stops reporting; its last reports expire.
 #[test]
-fn a_report_is_forgotten() {
+fn a_report_expires() {
     let board = ReportBoard::default();
     let now = clock::now() + Span::from_millis(10_000);
-    board.receive(proxy("p"), doubt(), now);
-    let about = |after| {
+    board.receive(proxy("p"), suspicion(), now);
+    let reports = |after| {
         board
             .for_group(&group(), now + Span::from_millis(after))
             .len()
     };
-    assert_eq!((about(900), about(1_100)), (1, 0));
-    board.receive(proxy("p"), doubt(), now);
+    assert_eq!((reports(900), reports(1_100)), (1, 0));
+    board.receive(proxy("p"), suspicion(), now);
     board.receive(proxy("p"), Reports::default(), now);
-    assert_eq!(about(0), 0);
+    assert_eq!(reports(0), 0);
 }
