--- a/crates/front/src/group/receipt.rs
+++ b/crates/front/src/group/receipt.rs
@@ -9,8 +9,8 @@
 use policy::replica_ack::{self, PendingAcks, Replica, Unresponsive, Write};
 
 use super::{Handle, Lent};
-use crate::changes::Changes;
 use crate::clock;
+use crate::pending_changes::Changes;
 
 /// Longest wait for a replica's answer: a round trip between regions, and a slot that comes
 /// free.
@@ -181,7 +181,7 @@
             return;
         }
         self.check_at = now + CHECK_PAUSE;
-        let answered = self.changes.ask();
+        let answered = self.changes.query();
         let answered = answered.recv_async();
         if compio::time::timeout(CHECK, answered).await.is_err() {
             tracing::info!(group = %self.group, "the store has not told yet whether a change of primary is under way");
