--- a/crates/front/src/cx.rs
+++ b/crates/front/src/cx.rs
@@ -9,10 +9,10 @@
 use model::route::Routes;
 
 use crate::changes::Changes;
+use crate::checkout::Roads;
 use crate::concern;
 use crate::feed::Feed;
 use crate::group;
-use crate::lend::Roads;
 use crate::logs;
 use crate::metrics::Metrics;
 use crate::place::Ways;
--- a/crates/front/src/directory.rs
+++ b/crates/front/src/directory.rs
@@ -23,11 +23,11 @@
 use store::mirror::Update;
 
 use crate::changes::{self, Changes};
+use crate::checkout::Carrier;
 use crate::clock;
 use crate::cx::Cx;
 use crate::feed::Touch;
 use crate::group::Shares;
-use crate::lend::Carrier;
 pub use keys::{Announced, COORDINATOR, DOUBTS, PROXIES, noted};
 pub use notes::Call;
 use state::Placement;
--- a/crates/front/src/lib.rs
+++ b/crates/front/src/lib.rs
@@ -5,6 +5,7 @@
 //! primary. Decisions come from the `policy` crate.
 
 pub mod changes;
+pub mod checkout;
 pub mod cli;
 pub mod clock;
 pub mod concern;
@@ -15,7 +16,6 @@
 pub mod directory;
 pub mod feed;
 pub mod group;
-pub mod lend;
 pub mod logs;
 pub mod member;
 pub mod metrics;
--- a/crates/front/src/relay.rs
+++ b/crates/front/src/relay.rs
@@ -6,8 +6,8 @@
 //! that begin with [`MARK`], which no line of an instance does; all other lines are passed
 //! on as they are.
 
-mod carrier;
 mod client;
+mod pooler;
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -26,8 +26,8 @@
 use crate::feed::Packed;
 use crate::group::Note;
 
-pub use carrier::serve;
 pub use client::{Client, Miss, WayBack};
+pub use pooler::serve;
 
 /// Begins a message between proxies.
 const MARK: u8 = b'!';
