--- a/crates/front/src/checkout.rs
+++ b/crates/front/src/checkout.rs
@@ -21,7 +21,7 @@
 
 /// A proxy through which a group is reached.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Carrier {
+pub struct Pooler {
     /// Which one.
     pub proxy: ProxyId,
     /// Where it lends connections; `None` for this proxy itself.
@@ -30,67 +30,69 @@
 
 /// The ways to each group past this proxy's own pool.
 #[derive(Default)]
-pub struct Roads(RefCell<IndexMap<GroupId, Road>>);
+pub struct ConnSources(RefCell<IndexMap<GroupId, ConnSource>>);
 
 /// The ways to one group.
 #[derive(Default)]
-struct Road {
+struct ConnSource {
     /// Carriers of this data centre; none where this proxy holds connections itself.
-    through: Vec<Carrier>,
+    poolers: Vec<Pooler>,
     /// Where all other proxies lend connections, the best one first.
     peers: IndexMap<ProxyId, SocketAddr>,
-    detour: Fallback,
+    fallback: Fallback,
 }
 
-impl Roads {
-    fn with<T>(&self, group: &GroupId, act: impl FnOnce(&mut Road) -> T) -> T {
-        let mut roads = self.0.borrow_mut();
-        act(roads.entry(group.clone()).or_default())
+impl ConnSources {
+    fn with<T>(&self, group: &GroupId, act: impl FnOnce(&mut ConnSource) -> T) -> T {
+        let mut sources = self.0.borrow_mut();
+        act(sources.entry(group.clone()).or_default())
     }
 
     /// Takes over through which proxies a group is reached; none if by this one itself.
-    pub fn set_through(&self, group: &GroupId, through: Vec<Carrier>) {
-        self.with(group, |road| road.through = through);
+    pub fn set_poolers(&self, group: &GroupId, poolers: Vec<Pooler>) {
+        self.with(group, |source| source.poolers = poolers);
     }
 
     /// Takes over the other proxies, the best one first.
     pub fn set_peers(&self, group: &GroupId, peers: IndexMap<ProxyId, SocketAddr>) {
-        self.with(group, |road| road.peers = peers);
+        self.with(group, |source| source.peers = peers);
     }
 
-    fn through(&self, group: &GroupId) -> Vec<Carrier> {
-        self.with(group, |road| road.through.clone())
+    fn poolers(&self, group: &GroupId) -> Vec<Pooler> {
+        self.with(group, |source| source.poolers.clone())
     }
 
-    fn way(&self, group: &GroupId) -> FallbackChoice {
-        self.with(group, |road| {
-            let peers: Vec<_> = road.peers.keys().cloned().collect();
-            road.detour.choose(&peers, clock::now())
+    fn fallback_choice(&self, group: &GroupId) -> FallbackChoice {
+        self.with(group, |source| {
+            let peers: Vec<_> = source.peers.keys().cloned().collect();
+            source.fallback.choose(&peers, clock::now())
         })
     }
 
     fn address(&self, group: &GroupId, peer: &ProxyId) -> Option<SocketAddr> {
-        self.with(group, |road| road.peers.get(peer).copied())
+        self.with(group, |source| source.peers.get(peer).copied())
     }
 
     fn found(&self, group: &GroupId, peer: &ProxyId) -> bool {
-        self.with(group, |road| road.detour.found(peer))
+        self.with(group, |source| source.fallback.found(peer))
     }
 
     fn lost(&self, group: &GroupId, peer: &ProxyId) {
-        self.with(group, |road| road.detour.lost(peer));
+        self.with(group, |source| source.fallback.lost(peer));
     }
 }
 
 impl Cx {
     /// Waits for a connection to a group, of this proxy or of another one.
-    pub async fn lend(&self, group: &GroupId, mut ask: ConnRequest) -> Result<Lent, Rejection> {
+    pub async fn checkout(&self, group: &GroupId, mut ask: ConnRequest) -> Result<Lent, Rejection> {
         while clock::now() < ask.deadline {
-            match self.borrow(group, &ask).await {
+            match self.checkout_pooler(group, &ask).await {
                 Ok(end) => return end,
-                Err(Next::OwnPool | Next::NextPooler) => return self.lend_here(group, ask).await,
+                Err(Next::OwnPool | Next::NextPooler) => {
+                    return self.checkout_local(group, ask).await;
+                }
                 Err(Next::RetryAfter(pause)) => compio::time::sleep(pause.as_duration()).await,
-                Err(Next::Fallback) => match self.lend_elsewhere(group, &ask).await {
+                Err(Next::Fallback) => match self.checkout_remote(group, &ask).await {
                     Some(end) => return end,
                     // Nobody reaches it, so a carrier waits for it on the statement's behalf.
                     None => ask.may_wait = true,
@@ -102,12 +104,12 @@
 
     /// Asks the carriers of this data centre; tells what to do if none of them serves the
     /// request.
-    async fn borrow(
+    async fn checkout_pooler(
         &self,
         group: &GroupId,
         ask: &ConnRequest,
     ) -> Result<Result<Lent, Rejection>, Next> {
-        let mut carriers = self.roads.through(group).into_iter().peekable();
+        let mut carriers = self.sources.poolers(group).into_iter().peekable();
         let mut round = PoolerAttempts::default();
         while let Some(carrier) = carriers.next() {
             let Some(address) = carrier.address else {
@@ -116,8 +118,8 @@
             };
             match self.relay.ask(&carrier.proxy, address, group, ask).await {
                 Ok(lent) => return Ok(Ok(lent)),
-                Err(relay::Miss::Refused(refused)) => return Ok(Err(refused)),
-                Err(relay::Miss::Elsewhere(miss)) => {
+                Err(relay::CheckoutFailure::Refused(refused)) => return Ok(Err(refused)),
+                Err(relay::CheckoutFailure::Elsewhere(miss)) => {
                     match round.failed(miss, carriers.peek().is_some()) {
                         Next::NextPooler => {}
                         next => return Err(next),
@@ -130,7 +132,11 @@
 
     /// Waits for a connection of this proxy, or goes through another one if no instance that
     /// could serve the request is in reach from here.
-    async fn lend_here(&self, group: &GroupId, mut ask: ConnRequest) -> Result<Lent, Rejection> {
+    async fn checkout_local(
+        &self,
+        group: &GroupId,
+        mut ask: ConnRequest,
+    ) -> Result<Lent, Rejection> {
         let Some(handle) = self.group(group) else {
             return Err(unknown());
         };
@@ -139,7 +145,7 @@
                 Err(refused) if refused.reason == Reason::Unreachable && !ask.may_wait => {}
                 end => return end,
             }
-            match self.lend_elsewhere(group, &ask).await {
+            match self.checkout_remote(group, &ask).await {
                 Some(end) => return end,
                 None => ask.may_wait = true,
             }
@@ -148,24 +154,24 @@
 
     /// Asks other proxies; `None` if none of them serves the request, or another statement
     /// is asking just now.
-    async fn lend_elsewhere(
+    async fn checkout_remote(
         &self,
         group: &GroupId,
         ask: &ConnRequest,
     ) -> Option<Result<Lent, Rejection>> {
-        let peers = match self.roads.way(group) {
+        let peers = match self.sources.fallback_choice(group) {
             FallbackChoice::Known(peer) => vec![peer],
             FallbackChoice::Search(peers) => peers,
             FallbackChoice::None => return None,
         };
         for peer in peers {
-            let Some(address) = self.roads.address(group, &peer) else {
-                self.roads.lost(group, &peer);
+            let Some(address) = self.sources.address(group, &peer) else {
+                self.sources.lost(group, &peer);
                 continue;
             };
             match self.relay.ask(&peer, address, group, ask).await {
                 Ok(lent) => {
-                    if self.roads.found(group, &peer) {
+                    if self.sources.found(group, &peer) {
                         tracing::info!(%group, %peer, instance = %lent.instance, "a group out of reach is served through another proxy");
                         if let Some(handle) = self.group(group) {
                             handle.release();
@@ -173,8 +179,8 @@
                     }
                     return Some(Ok(lent));
                 }
-                Err(relay::Miss::Refused(refused)) => return Some(Err(refused)),
-                Err(relay::Miss::Elsewhere(_)) => self.roads.lost(group, &peer),
+                Err(relay::CheckoutFailure::Refused(refused)) => return Some(Err(refused)),
+                Err(relay::CheckoutFailure::Elsewhere(_)) => self.sources.lost(group, &peer),
             }
         }
         None
--- a/crates/front/src/conn.rs
+++ b/crates/front/src/conn.rs
@@ -33,7 +33,7 @@
     Stream(#[from] StreamError),
     /// No answer came in time.
     #[error("no answer in time")]
-    Silent,
+    Timeout,
     /// The answer cannot be read.
     #[error(transparent)]
     Line(#[from] line::LineError),
@@ -53,7 +53,7 @@
 
 /// How a statement ended.
 #[derive(Clone, Debug)]
-pub struct Answer {
+pub struct Response {
     /// The failure, if it has no result.
     pub code: Option<Code>,
     /// State of the connection after it.
@@ -95,7 +95,7 @@
     /// Transaction to open.
     pub begin: Option<(Access, Option<Point>)>,
     /// Whether the instance must prove that it leads.
-    pub prove: bool,
+    pub verify_primary: bool,
 }
 
 impl Conn {
@@ -177,7 +177,7 @@
     }
 
     /// End of the instance's log, if an answer showed it since the last call.
-    pub fn take_shown(&mut self) -> Option<Point> {
+    pub fn take_log_end(&mut self) -> Option<Point> {
         self.shown.take()
     }
 
@@ -213,12 +213,12 @@
     }
 
     /// Time of the last statement, if one ran since the last call.
-    pub fn take_time(&mut self) -> Option<Span> {
+    pub fn take_duration(&mut self) -> Option<Span> {
         self.took.take()
     }
 
     /// Notes that the answer shows the instance leading when it was asked at `since`.
-    pub fn note_proof(&mut self, since: Time, answer: &Answer) {
+    pub fn record_proof(&mut self, since: Time, answer: &Response) {
         if let Some(point) = answer.point {
             self.proof = Some(Proof { since, point });
         }
@@ -230,10 +230,10 @@
         &mut self,
         setup: Setup<'_>,
         limit: Duration,
-    ) -> Result<Setting, ConnError> {
+    ) -> Result<SetupOutcome, ConnError> {
         let (buf, expected) = self.plan(setup);
         if expected.is_empty() {
-            return Ok(Setting::Ready);
+            return Ok(SetupOutcome::Ready);
         }
         let since = clock::now();
         within(limit, async {
@@ -243,11 +243,11 @@
                 let answer = self.read_answer().await?;
                 match (answer.code, what) {
                     (Some(code), _) => refused = refused.or(Some(code)),
-                    (None, Part::Lead) => self.note_proof(since, &answer),
+                    (None, Part::Lead) => self.record_proof(since, &answer),
                     (None, Part::Other) => {}
                 }
             }
-            Ok(refused.map_or(Setting::Ready, Setting::Refused))
+            Ok(refused.map_or(SetupOutcome::Ready, SetupOutcome::Refused))
         })
         .await
     }
@@ -278,7 +278,7 @@
             put(&Own::Prepare(&name, shape), Part::Other);
             self.prepared.insert(shape.clone(), name);
         }
-        if setup.prove {
+        if setup.verify_primary {
             put(&Own::Begin(Access::Write, None), Part::Lead);
             put(&Own::Rollback, Part::Other);
         }
@@ -303,7 +303,7 @@
     }
 
     /// Sends one statement and waits for its answer.
-    pub async fn run(&mut self, buf: Vec<u8>, limit: Duration) -> Result<Answer, ConnError> {
+    pub async fn run(&mut self, buf: Vec<u8>, limit: Duration) -> Result<Response, ConnError> {
         let since = clock::now();
         let answer = within(limit, async {
             self.writer.send(buf).await?;
@@ -324,7 +324,7 @@
         });
         match answer.await?.state {
             TxState::Idle => Ok(()),
-            TxState::Open | TxState::Failed => Err(ConnError::Silent),
+            TxState::Open | TxState::Failed => Err(ConnError::Timeout),
         }
     }
 
@@ -350,13 +350,13 @@
         }
     }
 
-    async fn tell(&mut self, own: &Own<'_>, limit: Duration) -> Result<Answer, ConnError> {
+    async fn tell(&mut self, own: &Own<'_>, limit: Duration) -> Result<Response, ConnError> {
         let mut buf = Vec::new();
         line::put_own(&mut buf, own);
         self.run(buf, limit).await
     }
 
-    async fn read_answer(&mut self) -> Result<Answer, ConnError> {
+    async fn read_answer(&mut self) -> Result<Response, ConnError> {
         let mut lines = Vec::new();
         let mut code = None;
         loop {
@@ -365,7 +365,7 @@
                 Reply::Ready { state, point } => {
                     self.state = state;
                     self.shown = point.or(self.shown);
-                    return Ok(Answer {
+                    return Ok(Response {
                         code,
                         state,
                         point,
@@ -390,7 +390,7 @@
     }
 }
 
-fn parse_state(answer: &Answer) -> Result<State, ConnError> {
+fn parse_state(answer: &Response) -> Result<State, ConnError> {
     let row = answer.lines.split(|b| *b == b'\r').next();
     let row = row.and_then(|r| std::str::from_utf8(r).ok());
     let row = row.and_then(|r| r.strip_prefix("ROW "));
@@ -400,7 +400,7 @@
 
 /// Outcome of [`Conn::set_up`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Setting {
+pub enum SetupOutcome {
     /// The statement may be sent.
     Ready,
     /// The instance refused a part.
@@ -420,7 +420,7 @@
 ) -> Result<T, ConnError> {
     match compio::time::timeout(limit, exchange).await {
         Ok(result) => result,
-        Err(_) => Err(ConnError::Silent),
+        Err(_) => Err(ConnError::Timeout),
     }
 }
 
@@ -430,14 +430,14 @@
     buf: &mut Vec<u8>,
     id: &StatementId,
     after: Option<Point>,
-    what: &What,
+    what: &Payload,
 ) -> bool {
     match what {
-        What::Text(text) => match after {
+        Payload::Text(text) => match after {
             Some(point) => line::put_query_after(buf, id, point, text),
             None => line::put_query(buf, id, text),
         },
-        What::Prepared(shape, args) => {
+        Payload::Prepared(shape, args) => {
             let Some(name) = conn.prepared_name(shape) else {
                 return false;
             };
@@ -449,14 +449,14 @@
 
 /// What a caller's statement runs.
 #[derive(Clone, Debug)]
-pub enum What {
+pub enum Payload {
     /// Its own text.
     Text(Arc<str>),
     /// A prepared statement with what follows its name.
     Prepared(Shape, Arc<str>),
 }
 
-impl What {
+impl Payload {
     /// The statement that must be prepared for it.
     pub fn shape(&self) -> Option<&Shape> {
         match self {
--- a/crates/front/src/coordinator/links.rs
+++ b/crates/front/src/coordinator/links.rs
@@ -109,8 +109,8 @@
             let group = self.group.clone();
             async move {
                 let lent = group.ask(control(entry, limit)).await;
-                let mut lent = lent.map_err(|_| ConnError::Silent)?;
-                let conn = lent.conn().ok_or(ConnError::Silent)?;
+                let mut lent = lent.map_err(|_| ConnError::Timeout)?;
+                let conn = lent.conn().ok_or(ConnError::Timeout)?;
                 let state = conn.state(own, limit).await;
                 if matches!(state, Ok(_) | Err(ConnError::Refused(_))) {
                     lent.give_back();
--- a/crates/front/src/cx.rs
+++ b/crates/front/src/cx.rs
@@ -9,7 +9,7 @@
 use model::route::Routes;
 
 use crate::changes::Changes;
-use crate::checkout::Roads;
+use crate::checkout::ConnSources;
 use crate::concern;
 use crate::feed::Feed;
 use crate::group;
@@ -24,7 +24,7 @@
     routes: RefCell<Arc<Routes>>,
     groups: RefCell<IndexMap<GroupId, group::Handle>>,
     /// The ways to groups past this proxy's own pools.
-    pub roads: Roads,
+    pub sources: ConnSources,
     /// Speaks to other proxies.
     pub relay: relay::Client,
     sessions: Cell<usize>,
@@ -49,7 +49,7 @@
         Self {
             routes: RefCell::default(),
             groups: RefCell::default(),
-            roads: Roads::default(),
+            sources: ConnSources::default(),
             relay: relay::Client::default(),
             sessions: Cell::new(0),
             feed: Feed::default(),
--- a/crates/front/src/directory.rs
+++ b/crates/front/src/directory.rs
@@ -23,7 +23,7 @@
 use store::mirror::Update;
 
 use crate::changes::{self, Changes};
-use crate::checkout::Carrier;
+use crate::checkout::Pooler;
 use crate::clock;
 use crate::cx::Cx;
 use crate::feed::Touch;
@@ -373,14 +373,14 @@
 
     /// Takes over through which proxies a group is reached.
     fn place(&self, state: &State, group: &GroupId, placement: &Placement) {
-        let carrier = |proxy: &ProxyId| Carrier {
+        let pooler = |proxy: &ProxyId| Pooler {
             proxy: proxy.clone(),
             address: state.relay(proxy).filter(|_| *proxy != self.me.id),
         };
-        let through = placement.plan.poolers.iter().map(carrier).collect();
-        self.cx.roads.set_through(group, through);
+        let poolers = placement.plan.poolers.iter().map(pooler).collect();
+        self.cx.sources.set_poolers(group, poolers);
         let address = |peer: &ProxyId| Some((peer.clone(), state.relay(peer)?));
         let peers = placement.peers.iter().filter_map(address).collect();
-        self.cx.roads.set_peers(group, peers);
+        self.cx.sources.set_peers(group, peers);
     }
 }
--- a/crates/front/src/group/lent.rs
+++ b/crates/front/src/group/lent.rs
@@ -11,7 +11,7 @@
 
 use super::{Handle, Message, Note, Returned, probe};
 use crate::conn::Conn;
-use crate::relay::WayBack;
+use crate::relay::ReturnPath;
 
 /// A connection on loan; dropping it unreturned counts it as lost.
 pub struct Lent {
@@ -30,7 +30,7 @@
     /// The group's task of this process.
     Here(Handle),
     /// Another proxy; what was learned goes back with the connection.
-    Relayed(WayBack, Rc<RefCell<Vec<Note>>>),
+    Relayed(ReturnPath, Rc<RefCell<Vec<Note>>>),
 }
 
 impl Lent {
@@ -47,14 +47,14 @@
 
     /// A loan of another proxy.
     pub fn relayed(
-        way_back: WayBack,
+        return_path: ReturnPath,
         instance: InstanceId,
         after: Option<Point>,
         prove: bool,
         conn: Conn,
     ) -> Self {
         Self {
-            home: Home::Relayed(way_back, Rc::default()),
+            home: Home::Relayed(return_path, Rc::default()),
             instance,
             after,
             prove,
@@ -95,9 +95,9 @@
                 self.send(conn, true);
                 handle.prove(write, give_up).await
             }
-            Home::Relayed(way_back, notes) => {
+            Home::Relayed(return_path, notes) => {
                 let notes = notes.take();
-                way_back.prove(conn, notes, write, give_up).await
+                return_path.prove(conn, notes, write, give_up).await
             }
         }
     }
@@ -127,14 +127,14 @@
                 let returned = Returned {
                     instance: self.instance.clone(),
                     proof: conn.take_proof(),
-                    took: conn.take_time(),
-                    shown: conn.take_shown(),
+                    took: conn.take_duration(),
+                    shown: conn.take_log_end(),
                     conn: usable.then_some(conn),
                 };
                 handle.send(Message::GiveBack(returned));
             }
-            Home::Relayed(way_back, notes) => {
-                way_back.give_back(conn, usable, notes.take());
+            Home::Relayed(return_path, notes) => {
+                return_path.release(conn, usable, notes.take());
             }
         }
     }
--- a/crates/front/src/group/probe.rs
+++ b/crates/front/src/group/probe.rs
@@ -14,7 +14,7 @@
 
 use super::{Group, Message, Reply};
 use crate::clock;
-use crate::conn::{Conn, ConnError, Setting, Setup};
+use crate::conn::{Conn, ConnError, Setup, SetupOutcome};
 use crate::metrics::Metrics;
 
 /// Longest wait for an answer. The statements that are asked need no slot, so a busy
@@ -206,7 +206,7 @@
 fn finding(e: &ConnError) -> ProbeFailure {
     match e {
         ConnError::Refused(Code::TooManyConnections) => ProbeFailure::Full,
-        ConnError::Silent => ProbeFailure::Silent,
+        ConnError::Timeout => ProbeFailure::Silent,
         ConnError::Stream(_) | ConnError::Refused(_) | ConnError::Line(_) => ProbeFailure::Down,
     }
 }
@@ -216,13 +216,13 @@
         values: None,
         shape: None,
         begin: None,
-        prove: true,
+        verify_primary: true,
     };
     let asked = clock::now();
     match conn.set_up(setup, limit).await {
-        Ok(Setting::Ready) => conn.take_proof().ok_or(ProbeFailure::Down),
-        Ok(Setting::Refused(Code::ReadOnly)) => Err(ProbeFailure::Follows),
-        Ok(Setting::Refused(code)) => {
+        Ok(SetupOutcome::Ready) => conn.take_proof().ok_or(ProbeFailure::Down),
+        Ok(SetupOutcome::Refused(Code::ReadOnly)) => Err(ProbeFailure::Follows),
+        Ok(SetupOutcome::Refused(code)) => {
             tracing::info!(?code, asked = %asked, "a question to an instance was refused");
             Err(ProbeFailure::Down)
         }
--- a/crates/front/src/relay.rs
+++ b/crates/front/src/relay.rs
@@ -26,7 +26,7 @@
 use crate::feed::Packed;
 use crate::group::Note;
 
-pub use client::{Client, Miss, WayBack};
+pub use client::{CheckoutFailure, Client, ReturnPath};
 pub use pooler::serve;
 
 /// Begins a message between proxies.
@@ -45,7 +45,7 @@
 
 /// A message to the carrier.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-enum ToCarrier {
+enum ToPooler {
     /// Asks for a connection.
     Ask {
         group: GroupId,
@@ -114,7 +114,7 @@
 
 /// A message of the carrier.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-enum FromCarrier {
+enum FromPooler {
     /// The request has been read.
     Heard,
     /// The connection follows.
@@ -158,14 +158,14 @@
     }
 }
 
-fn to_wire(group: &GroupId, ask: &ConnRequest) -> Option<ToCarrier> {
+fn to_wire(group: &GroupId, ask: &ConnRequest) -> Option<ToPooler> {
     let now = clock::now();
     let kind = match &ask.kind {
         Kind::Write => WireKind::Write,
         Kind::Read(guarantee) => WireKind::Read(*guarantee),
         Kind::Control(_) => return None,
     };
-    Some(ToCarrier::Ask {
+    Some(ToPooler::Ask {
         group: group.clone(),
         kind,
         own: ask.own_write,
@@ -177,8 +177,8 @@
     })
 }
 
-fn from_wire(message: ToCarrier) -> Option<(GroupId, ConnRequest)> {
-    let ToCarrier::Ask {
+fn from_wire(message: ToPooler) -> Option<(GroupId, ConnRequest)> {
+    let ToPooler::Ask {
         group,
         kind,
         own,
--- a/crates/front/src/relay/client.rs
+++ b/crates/front/src/relay/client.rs
@@ -15,7 +15,7 @@
 use store::client::TIME_LIMIT;
 use store::mirror::Update;
 
-use super::{FromCarrier, HEARD, Returned, ToCarrier, decode, encode, to_wire};
+use super::{FromPooler, HEARD, Returned, ToPooler, decode, encode, to_wire};
 use crate::clock;
 use crate::concern::Concerns;
 use crate::conn::{Conn, ConnError};
@@ -53,7 +53,7 @@
 
 /// Why a carrier lent nothing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Miss {
+pub enum CheckoutFailure {
     /// The statement is refused; another carrier would not do better.
     Refused(Rejection),
     /// Another carrier may be asked.
@@ -72,7 +72,7 @@
 
 /// The way back of a loan.
 #[derive(Clone)]
-pub struct WayBack {
+pub struct ReturnPath {
     client: Client,
     carrier: ProxyId,
     group: GroupId,
@@ -86,11 +86,13 @@
         address: SocketAddr,
         group: &GroupId,
         ask: &ConnRequest,
-    ) -> Result<Lent, Miss> {
+    ) -> Result<Lent, CheckoutFailure> {
         let now = clock::now();
         let until = self.0.passed_over.borrow().get(carrier).copied();
         if until.is_some_and(|until| now < until) {
-            return Err(Miss::Elsewhere(pooler_retry::GrantFailure::Unresponsive));
+            return Err(CheckoutFailure::Elsewhere(
+                pooler_retry::GrantFailure::Unresponsive,
+            ));
         }
         let idle = self.take_idle(carrier);
         let reused = idle.is_some();
@@ -100,14 +102,14 @@
             result = self.try_on(None, carrier, address, group, ask).await;
         }
         result.map_err(|e| match e {
-            Trouble::Refused(refused) => Miss::Refused(refused),
-            Trouble::Elsewhere(miss) => Miss::Elsewhere(miss),
+            Trouble::Refused(refused) => CheckoutFailure::Refused(refused),
+            Trouble::Elsewhere(miss) => CheckoutFailure::Elsewhere(miss),
             Trouble::Broken(e) => {
                 tracing::warn!(%carrier, %group, cause = %e, "a carrier did not answer");
                 let until = clock::now() + PASS_OVER;
                 let mut passed_over = self.0.passed_over.borrow_mut();
                 passed_over.insert(carrier.clone(), until);
-                Miss::Elsewhere(pooler_retry::GrantFailure::Unresponsive)
+                CheckoutFailure::Elsewhere(pooler_retry::GrantFailure::Unresponsive)
             }
         })
     }
@@ -120,7 +122,7 @@
         by: &ProxyId,
         concerns: &Concerns,
     ) -> bool {
-        let report = ToCarrier::Report {
+        let report = ToPooler::Report {
             by: by.clone(),
             concerns: concerns.clone(),
         };
@@ -142,7 +144,7 @@
         after: Revision,
         wait: Span,
     ) -> Option<Update> {
-        let request = ToCarrier::Follow { after, wait };
+        let request = ToPooler::Follow { after, wait };
         let idle = self.take_idle(reader);
         let reused = idle.is_some();
         let mut told = self.try_follow(idle, reader, address, &request, wait).await;
@@ -188,14 +190,14 @@
             Some(conn) => conn,
             None => connect(address).await?,
         };
-        conn.send(encode(&ToCarrier::Changes { within })).await?;
+        conn.send(encode(&ToPooler::Changes { within })).await?;
         let told = match read(&mut conn, Span::from(HEARD)).await? {
-            FromCarrier::Heard => read(&mut conn, within + Span::from(TIME_LIMIT) + GRACE).await?,
+            FromPooler::Heard => read(&mut conn, within + Span::from(TIME_LIMIT) + GRACE).await?,
             other => other,
         };
         self.keep(reader, conn);
         match told {
-            FromCarrier::Changing(noted) => Ok(Some(noted)),
+            FromPooler::Changing(noted) => Ok(Some(noted)),
             _ => Ok(None),
         }
     }
@@ -205,7 +207,7 @@
         conn: Option<Conn>,
         reader: &ProxyId,
         address: SocketAddr,
-        request: &ToCarrier,
+        request: &ToPooler,
         wait: Span,
     ) -> Result<Option<Update>, FollowError> {
         let mut conn = match conn {
@@ -214,12 +216,12 @@
         };
         conn.send(encode(request)).await?;
         let told = match read(&mut conn, ARRIVES).await? {
-            FromCarrier::Heard => read_long(&mut conn, wait + ARRIVES, ARRIVES).await?,
+            FromPooler::Heard => read_long(&mut conn, wait + ARRIVES, ARRIVES).await?,
             other => other,
         };
         self.keep(reader, conn);
         match told {
-            FromCarrier::News(packed) => Ok(Some(packed.unpack()?)),
+            FromPooler::News(packed) => Ok(Some(packed.unpack()?)),
             _ => Ok(None),
         }
     }
@@ -229,7 +231,7 @@
         conn: Option<Conn>,
         to: &ProxyId,
         address: SocketAddr,
-        report: &ToCarrier,
+        report: &ToPooler,
     ) -> Result<(), ConnError> {
         let mut conn = match conn {
             Some(conn) => conn,
@@ -237,11 +239,11 @@
         };
         conn.send(encode(report)).await?;
         match read(&mut conn, Span::from(HEARD)).await? {
-            FromCarrier::Heard => {
+            FromPooler::Heard => {
                 self.keep(to, conn);
                 Ok(())
             }
-            _ => Err(ConnError::Silent),
+            _ => Err(ConnError::Timeout),
         }
     }
 
@@ -262,27 +264,27 @@
         conn.send(encode(&request)).await.map_err(Trouble::Broken)?;
         let heard = read(&mut conn, Span::from(HEARD)).await;
         match heard.map_err(Trouble::Broken)? {
-            FromCarrier::Heard => {}
+            FromPooler::Heard => {}
             other => return self.elsewhere(carrier, conn, &other),
         }
         let left = ask.deadline.since(clock::now());
         let left = Span::from_micros(left.as_micros() + GRACE.as_micros());
         match read(&mut conn, left).await.map_err(Trouble::Broken)? {
-            FromCarrier::Granted {
+            FromPooler::Granted {
                 instance,
                 after,
                 prove,
                 held,
             } => {
                 conn.set_held(&held);
-                let way_back = WayBack {
+                let return_path = ReturnPath {
                     client: self.clone(),
                     carrier: carrier.clone(),
                     group: group.clone(),
                 };
-                Ok(Lent::relayed(way_back, instance, after, prove, conn))
+                Ok(Lent::relayed(return_path, instance, after, prove, conn))
             }
-            FromCarrier::Refused(refused) => {
+            FromPooler::Refused(refused) => {
                 self.keep(carrier, conn);
                 Err(Trouble::Refused(refused))
             }
@@ -294,12 +296,12 @@
         &self,
         carrier: &ProxyId,
         conn: Conn,
-        answer: &FromCarrier,
+        answer: &FromPooler,
     ) -> Result<Lent, Trouble> {
         self.keep(carrier, conn);
         Err(Trouble::Elsewhere(match answer {
-            FromCarrier::Starting => pooler_retry::GrantFailure::Starting,
-            FromCarrier::OutOfReach => pooler_retry::GrantFailure::Unreachable,
+            FromPooler::Starting => pooler_retry::GrantFailure::Starting,
+            FromPooler::OutOfReach => pooler_retry::GrantFailure::Unreachable,
             _ => pooler_retry::GrantFailure::Stopping,
         }))
     }
@@ -317,7 +319,7 @@
     }
 }
 
-impl WayBack {
+impl ReturnPath {
     /// Gives a loan back after a write, and asks the carrier whether a replica holds it.
     pub async fn prove(
         &self,
@@ -327,8 +329,8 @@
         give_up: Time,
     ) -> bool {
         let left = give_up.since(clock::now());
-        let mut lines = encode(&ToCarrier::Return(returned(&mut conn, true, notes)));
-        lines.extend(encode(&ToCarrier::Prove {
+        let mut lines = encode(&ToPooler::Return(returned(&mut conn, true, notes)));
+        lines.extend(encode(&ToPooler::Prove {
             group: self.group.clone(),
             primary: write.primary,
             point: write.point,
@@ -339,7 +341,7 @@
             read(&mut conn, left + GRACE).await
         };
         match asked.await {
-            Ok(FromCarrier::Proved(proved)) => {
+            Ok(FromPooler::Proved(proved)) => {
                 self.client.keep(&self.carrier, conn);
                 proved
             }
@@ -352,11 +354,11 @@
     }
 
     /// Gives a loan back; `usable` says whether the connection may be lent again.
-    pub fn give_back(&self, mut conn: Conn, usable: bool, notes: Vec<Note>) {
+    pub fn release(&self, mut conn: Conn, usable: bool, notes: Vec<Note>) {
         let returned = returned(&mut conn, usable, notes);
         let this = self.clone();
         compio::runtime::spawn(async move {
-            match conn.send(encode(&ToCarrier::Return(returned))).await {
+            match conn.send(encode(&ToPooler::Return(returned))).await {
                 Ok(()) if usable => this.client.keep(&this.carrier, conn),
                 // Closing it tells the carrier the same.
                 Ok(()) => {}
@@ -374,8 +376,8 @@
         usable,
         held: conn.held(),
         proof: conn.take_proof().map(|p| p.point),
-        took: conn.take_time(),
-        shown: conn.take_shown(),
+        took: conn.take_duration(),
+        shown: conn.take_log_end(),
         notes,
     }
 }
@@ -391,16 +393,16 @@
     let connecting = compio::time::timeout(HEARD, TcpStream::connect(address));
     match connecting.await {
         Ok(stream) => Conn::bare(stream?),
-        Err(_) => Err(ConnError::Silent),
+        Err(_) => Err(ConnError::Timeout),
     }
 }
 
-async fn read_long(conn: &mut Conn, begin: Span, go_on: Span) -> Result<FromCarrier, ConnError> {
+async fn read_long(conn: &mut Conn, begin: Span, go_on: Span) -> Result<FromPooler, ConnError> {
     let line = conn.long_line(begin, go_on).await?;
-    decode(line).ok_or(ConnError::Silent)
+    decode(line).ok_or(ConnError::Timeout)
 }
 
-async fn read(conn: &mut Conn, limit: Span) -> Result<FromCarrier, ConnError> {
+async fn read(conn: &mut Conn, limit: Span) -> Result<FromPooler, ConnError> {
     let line = conn.line(limit.as_duration()).await?;
-    decode(line).ok_or(ConnError::Silent)
+    decode(line).ok_or(ConnError::Timeout)
 }
--- a/crates/front/src/relay/pooler.rs
+++ b/crates/front/src/relay/pooler.rs
@@ -9,7 +9,7 @@
 use policy::proof::Proof;
 use policy::replica_ack::Write;
 
-use super::{FromCarrier, MARK, Returned, ToCarrier, decode, encode, from_wire};
+use super::{FromPooler, MARK, Returned, ToPooler, decode, encode, from_wire};
 use crate::clock;
 use crate::conn::Conn;
 use crate::cx::Cx;
@@ -42,9 +42,9 @@
 async fn lend(cx: &Rc<Cx>, stream: TcpStream) -> Result<(), StreamError> {
     let (mut reader, mut writer) = stream::split(stream)?;
     loop {
-        let request = decode::<ToCarrier>(reader.line().await?);
+        let request = decode::<ToPooler>(reader.line().await?);
         let request = request.ok_or(StreamError::Closed)?;
-        if !matches!(request, ToCarrier::Ask { .. }) {
+        if !matches!(request, ToPooler::Ask { .. }) {
             answer(cx, request, &mut writer).await?;
             continue;
         }
@@ -52,46 +52,46 @@
             return Err(StreamError::Closed);
         };
         if cx.stop.phase() != Phase::Serving {
-            writer.send(encode(&FromCarrier::Elsewhere)).await?;
+            writer.send(encode(&FromPooler::Elsewhere)).await?;
             continue;
         }
         let Some(handle) = cx.group(&group) else {
-            writer.send(encode(&FromCarrier::Starting)).await?;
+            writer.send(encode(&FromPooler::Starting)).await?;
             continue;
         };
-        writer.send(encode(&FromCarrier::Heard)).await?;
+        writer.send(encode(&FromPooler::Heard)).await?;
         // Counted like a session: the shutdown waits for what it carries.
         let _entered = cx.enter();
         match handle.ask(ask).await {
             Ok(lent) => carry(lent, &mut reader, &mut writer).await?,
             Err(refused) if refused.reason == Reason::Unreachable => {
-                writer.send(encode(&FromCarrier::OutOfReach)).await?;
+                writer.send(encode(&FromPooler::OutOfReach)).await?;
             }
-            Err(refused) => writer.send(encode(&FromCarrier::Refused(refused))).await?,
+            Err(refused) => writer.send(encode(&FromPooler::Refused(refused))).await?,
         }
     }
 }
 
 /// Answers a request for something else than a connection.
-async fn answer(cx: &Rc<Cx>, request: ToCarrier, writer: &mut Writer) -> Result<(), StreamError> {
+async fn answer(cx: &Rc<Cx>, request: ToPooler, writer: &mut Writer) -> Result<(), StreamError> {
     let answer = match request {
-        ToCarrier::Report { by, concerns } => {
+        ToPooler::Report { by, concerns } => {
             cx.concerns.told(by, concerns, clock::now());
-            FromCarrier::Heard
+            FromPooler::Heard
         }
-        ToCarrier::Follow { after, wait } => {
-            writer.send(encode(&FromCarrier::Heard)).await?;
+        ToPooler::Follow { after, wait } => {
+            writer.send(encode(&FromPooler::Heard)).await?;
             let news = cx.feed.after(after, wait).await;
-            news.map_or(FromCarrier::Elsewhere, FromCarrier::News)
+            news.map_or(FromPooler::Elsewhere, FromPooler::News)
         }
-        ToCarrier::Changes { within } => {
-            writer.send(encode(&FromCarrier::Heard)).await?;
+        ToPooler::Changes { within } => {
+            writer.send(encode(&FromPooler::Heard)).await?;
             match cx.changes.ask_store(within).recv_async().await {
-                Ok(noted) => FromCarrier::Changing(noted.as_ref().clone()),
-                Err(flume::RecvError::Disconnected) => FromCarrier::Elsewhere,
+                Ok(noted) => FromPooler::Changing(noted.as_ref().clone()),
+                Err(flume::RecvError::Disconnected) => FromPooler::Elsewhere,
             }
         }
-        ToCarrier::Prove {
+        ToPooler::Prove {
             group,
             primary,
             point,
@@ -99,12 +99,12 @@
         } => {
             let _entered = cx.enter();
             let write = Write { primary, point };
-            FromCarrier::Proved(match cx.group(&group) {
+            FromPooler::Proved(match cx.group(&group) {
                 Some(handle) => handle.prove(write, clock::now() + left).await,
                 None => false,
             })
         }
-        ToCarrier::Ask { .. } | ToCarrier::Return(_) => return Err(StreamError::Closed),
+        ToPooler::Ask { .. } | ToPooler::Return(_) => return Err(StreamError::Closed),
     };
     writer
         .send(encode(&answer))
@@ -117,7 +117,7 @@
     reader: &mut Reader,
     writer: &mut Writer,
 ) -> Result<(), StreamError> {
-    let granted = FromCarrier::Granted {
+    let granted = FromPooler::Granted {
         instance: lent.instance.clone(),
         after: lent.after,
         prove: lent.prove,
@@ -178,7 +178,7 @@
                 let text = reader.line().await.map_err(End::Borrower)?;
                 if text.first() == Some(&MARK) {
                     return match decode(text) {
-                        Some(ToCarrier::Return(returned)) => Ok(returned),
+                        Some(ToPooler::Return(returned)) => Ok(returned),
                         _ => Err(End::Borrower(StreamError::Closed)),
                     };
                 }
--- a/crates/front/src/session.rs
+++ b/crates/front/src/session.rs
@@ -21,7 +21,7 @@
 use policy::pool::Rejection;
 
 use crate::clock;
-use crate::conn::{Values, What};
+use crate::conn::{Payload, Values};
 use crate::cx::Cx;
 use crate::stop::Phase;
 use crate::stream::{self, Reader, StreamError, Writer};
@@ -321,7 +321,7 @@
             Statement::Commit => self.commit(job).await,
             Statement::Rollback => self.roll_back().await,
             Statement::Run(access) => {
-                let what = What::Text(job.text.clone());
+                let what = Payload::Text(job.text.clone());
                 self.run_one(job, access, what).await
             }
             Statement::Execute { name, args } => {
@@ -329,7 +329,8 @@
                     return self.not_prepared();
                 };
                 let access = shape.access;
-                self.run_one(job, access, What::Prepared(shape, args)).await
+                self.run_one(job, access, Payload::Prepared(shape, args))
+                    .await
             }
             Statement::Set { name, value } => self.set(name, value),
             Statement::Prepare { name, shape } => self.prepare(name, shape),
--- a/crates/front/src/session/attempt.rs
+++ b/crates/front/src/session/attempt.rs
@@ -12,7 +12,7 @@
 
 use super::{Done, Failure, Job, Session};
 use crate::clock;
-use crate::conn::{self, Answer, ConnError, Setting, Setup, Values, What};
+use crate::conn::{self, ConnError, Payload, Response, Setup, SetupOutcome, Values};
 use crate::group::{Lent, Note};
 
 /// Attempts of one statement. An attempt is repeated only if the one before certainly did
@@ -72,10 +72,10 @@
     lent: &mut Lent,
     job: &Job,
     after: Option<Point>,
-    what: &What,
+    what: &Payload,
     stalls: bool,
     limit: Span,
-) -> Result<Answer, Lost> {
+) -> Result<Response, Lost> {
     let (instance, note) = (lent.instance.clone(), lent.noter());
     let result = {
         let Some(conn) = lent.conn() else {
@@ -106,9 +106,9 @@
 }
 
 /// Notes that an answer shows the instance leading.
-pub(super) fn note_proof(lent: &mut Lent, since: Time, answer: &Answer) {
+pub(super) fn record_proof(lent: &mut Lent, since: Time, answer: &Response) {
     if let Some(conn) = lent.conn() {
-        conn.note_proof(since, answer);
+        conn.record_proof(since, answer);
     }
 }
 
@@ -187,7 +187,7 @@
         &mut self,
         job: &Job,
         access: Access,
-        what: What,
+        what: Payload,
     ) -> Result<Done, Failure> {
         if !self.tx.is_none() {
             return self.run_in_tx(job, access, &what).await;
@@ -199,13 +199,13 @@
         }
     }
 
-    async fn write(&mut self, job: &Job, what: &What, route: &Route) -> Result<Done, Failure> {
+    async fn write(&mut self, job: &Job, what: &Payload, route: &Route) -> Result<Done, Failure> {
         let give_up = job.arrived + route.time_limit;
         let mut last = Failure::Instance(Code::Busy);
         let mut tries = Tries::default();
         while tries.left() {
             let ask = ask(job, Kind::Write, route, self.own);
-            let lent = self.cx.lend(&route.group, ask).await?;
+            let lent = self.cx.checkout(&route.group, ask).await?;
             let instance = lent.instance.clone();
             let sending = Sending {
                 job,
@@ -291,7 +291,7 @@
 /// One attempt of a statement outside a transaction.
 pub(super) struct Sending<'a> {
     pub(super) job: &'a Job,
-    pub(super) what: &'a What,
+    pub(super) what: &'a Payload,
     pub(super) values: &'a Values,
     pub(super) access: Access,
     pub(super) limit: Span,
@@ -306,15 +306,15 @@
             values: Some(self.values),
             shape: self.what.shape(),
             begin: None,
-            prove: lent.prove,
+            verify_primary: lent.prove,
         };
         let after = lent.after;
         let Some(conn) = lent.conn() else {
             return Err(Miss::NotRun(Code::Busy));
         };
         match conn.set_up(setup, self.limit.as_duration()).await {
-            Ok(Setting::Ready) => {}
-            Ok(Setting::Refused(code)) => {
+            Ok(SetupOutcome::Ready) => {}
+            Ok(SetupOutcome::Refused(code)) => {
                 learn(&lent, code);
                 after_refusal(lent, code);
                 return Err(Miss::NotRun(code));
@@ -331,10 +331,10 @@
         self.settle(lent, since, answer).await
     }
 
-    async fn settle(&self, mut lent: Lent, since: Time, answer: Answer) -> Result<Done, Miss> {
+    async fn settle(&self, mut lent: Lent, since: Time, answer: Response) -> Result<Done, Miss> {
         let Some(code) = answer.code else {
             if self.access == Access::Write {
-                note_proof(&mut lent, since, &answer);
+                record_proof(&mut lent, since, &answer);
                 lent.note(Note::Wrote);
             }
             let done = Done {
--- a/crates/front/src/session/read.rs
+++ b/crates/front/src/session/read.rs
@@ -15,7 +15,7 @@
 use super::attempt::{self, Miss, Sending, Tries};
 use super::{Done, Failure, Job, Session};
 use crate::clock;
-use crate::conn::{Values, What};
+use crate::conn::{Payload, Values};
 use crate::group::Lent;
 
 /// Time after which a read without an answer is tried on another instance as well. Load:
@@ -29,7 +29,12 @@
 type Running = Pin<Box<dyn Future<Output = Result<Done, Miss>>>>;
 
 impl Session {
-    pub(super) async fn read(&self, job: &Job, what: What, route: &Route) -> Result<Done, Failure> {
+    pub(super) async fn read(
+        &self,
+        job: &Job,
+        what: Payload,
+        route: &Route,
+    ) -> Result<Done, Failure> {
         let give_up = job.arrived + route.time_limit;
         let mut avoid: Option<InstanceId> = None;
         let mut late: Option<Running> = None;
@@ -38,7 +43,7 @@
         while tries.left() {
             let mut ask = attempt::ask(job, Kind::Read(route.guarantee), route, self.own);
             ask.avoid = avoid.take();
-            let lent = match self.cx.lend(&route.group, ask).await {
+            let lent = match self.cx.checkout(&route.group, ask).await {
                 Ok(lent) => lent,
                 Err(refused) => {
                     return match late {
@@ -87,7 +92,7 @@
     }
 }
 
-fn run(job: Job, what: What, values: Rc<Values>, limit: Span, lent: Lent) -> Running {
+fn run(job: Job, what: Payload, values: Rc<Values>, limit: Span, lent: Lent) -> Running {
     Box::pin(async move {
         let sending = Sending {
             job: &job,
--- a/crates/front/src/session/tx.rs
+++ b/crates/front/src/session/tx.rs
@@ -8,7 +8,7 @@
 use super::attempt::{self, Lost, Tries};
 use super::{Done, Failure, Job, Session};
 use crate::clock;
-use crate::conn::{Setting, Setup, What};
+use crate::conn::{Payload, Setup, SetupOutcome};
 use crate::group::{Lent, Note};
 
 /// Longest wait for a connection to drop a transaction; then it is closed, which drops
@@ -151,7 +151,7 @@
         let limit = open.route.time_limit;
         for attempt in 0..BUSY_TRIES {
             let since = clock::now();
-            let what = What::Text(job.text.clone());
+            let what = Payload::Text(job.text.clone());
             let answer = attempt::send(&mut open.lent, job, None, &what, open.wrote, limit).await;
             let answer = match answer {
                 Ok(answer) => answer,
@@ -161,7 +161,7 @@
                 None => {
                     if open.wrote {
                         self.own = self.own.max(answer.point);
-                        attempt::note_proof(&mut open.lent, since, &answer);
+                        attempt::record_proof(&mut open.lent, since, &answer);
                         open.lent.note(Note::Wrote);
                     }
                     let done = Done {
@@ -197,7 +197,7 @@
         &mut self,
         job: &Job,
         access: Access,
-        what: &What,
+        what: &Payload,
     ) -> Result<Done, Failure> {
         let result = self.try_in_tx(job, access, what).await;
         if result.is_err()
@@ -208,7 +208,12 @@
         result
     }
 
-    async fn try_in_tx(&mut self, job: &Job, access: Access, what: &What) -> Result<Done, Failure> {
+    async fn try_in_tx(
+        &mut self,
+        job: &Job,
+        access: Access,
+        what: &Payload,
+    ) -> Result<Done, Failure> {
         if let Tx::Pending(opened, arrived, route) = &self.tx {
             let (opened, arrived, route) = (*opened, *arrived, route.clone());
             let shape = what.shape();
@@ -221,15 +226,15 @@
             values: Some(&self.values),
             shape: what.shape(),
             begin: None,
-            prove: false,
+            verify_primary: false,
         };
         let limit = open.route.time_limit;
         let Some(conn) = open.lent.conn() else {
             return Err(Failure::LostUnkept);
         };
         match conn.set_up(setup, limit.as_duration()).await {
-            Ok(Setting::Ready) => {}
-            Ok(Setting::Refused(code)) => return Err(Failure::Instance(code)),
+            Ok(SetupOutcome::Ready) => {}
+            Ok(SetupOutcome::Refused(code)) => return Err(Failure::Instance(code)),
             Err(e) => return Err(Lost::new(&open.lent, job, &e).unkept()),
         }
         open.wrote |= access == Access::Write;
@@ -240,7 +245,7 @@
             match answer.code {
                 None => {
                     if open.access == Access::Write {
-                        attempt::note_proof(&mut open.lent, since, &answer);
+                        attempt::record_proof(&mut open.lent, since, &answer);
                         open.lent.tell_proof();
                     }
                     return Ok(Done {
@@ -289,18 +294,18 @@
                 avoid: avoid.take(),
                 may_wait: false,
             };
-            let mut lent = self.cx.lend(&route.group, ask).await?;
+            let mut lent = self.cx.checkout(&route.group, ask).await?;
             let setup = Setup {
                 values: Some(&self.values),
                 shape,
                 begin: Some((access, lent.after)),
-                prove: lent.prove,
+                verify_primary: lent.prove,
             };
             let (after, prove) = (lent.after, lent.prove);
             let Some(conn) = lent.conn() else { continue };
             let set = conn.set_up(setup, route.time_limit.as_duration()).await;
             match set {
-                Ok(Setting::Ready) => {
+                Ok(SetupOutcome::Ready) => {
                     lent.tell_proof();
                     let open = Open {
                         lent,
@@ -311,7 +316,7 @@
                     self.tx = Tx::Open(Box::new(open));
                     return Ok(());
                 }
-                Ok(Setting::Refused(code)) => {
+                Ok(SetupOutcome::Refused(code)) => {
                     attempt::learn(&lent, code);
                     tracing::info!(id = %job.id, instance = %lent.instance, ?code, after = after.map(tracing::field::display), prove, failed = tries.failed, busy = tries.busy, "a transaction was not opened");
                     avoid = Some(lent.instance.clone());
--- a/crates/front/src/stream.rs
+++ b/crates/front/src/stream.rs
@@ -20,7 +20,7 @@
     Closed,
     /// Nothing came in time.
     #[error("nothing came in time")]
-    Silent,
+    Timeout,
     /// The connection broke.
     #[error("the connection broke: {0}")]
     Broken(#[from] io::Error),
@@ -87,7 +87,7 @@
         let mut limit = begin;
         while !self.has_line() {
             let filled = compio::time::timeout(limit, self.fill()).await;
-            filled.map_err(|_| StreamError::Silent)??;
+            filled.map_err(|_| StreamError::Timeout)??;
             limit = go_on;
         }
         self.line().await
