--- a/crates/front/src/checkout.rs
+++ b/crates/front/src/checkout.rs
@@ -1,5 +1,5 @@
-//! Which way a statement gets its connection: from this proxy's own pool, from a carrier of
-//! its data centre, or from any other proxy that reaches the group.
+//! Checkout of a connection for a statement: from this proxy's own pool, from a pooler of
+//! its data centre, or from any other proxy that reaches the group (the fallback).
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -16,28 +16,28 @@
 use crate::group::Lent;
 use crate::relay;
 
-/// Hint while a group is not known yet: the store tells of it within a second.
+/// Retry hint while a group is not known yet; the store reports it within a second.
 const UNKNOWN_RETRY: Span = Span::from_millis(500);
 
-/// A proxy through which a group is reached.
+/// A proxy that pools a group's connections.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Pooler {
-    /// Which one.
+    /// Its id.
     pub proxy: ProxyId,
-    /// Where it lends connections; `None` for this proxy itself.
+    /// Address of its relay listener; `None` for this proxy itself.
     pub address: Option<SocketAddr>,
 }
 
-/// The ways to each group past this proxy's own pool.
+/// Sources of connections to each group besides this proxy's own pool.
 #[derive(Default)]
 pub struct ConnSources(RefCell<IndexMap<GroupId, ConnSource>>);
 
-/// The ways to one group.
+/// Sources of connections to one group.
 #[derive(Default)]
 struct ConnSource {
-    /// Carriers of this data centre; none where this proxy holds connections itself.
+    /// Poolers of this data centre; empty if this proxy holds connections itself.
     poolers: Vec<Pooler>,
-    /// Where all other proxies lend connections, the best one first.
+    /// Relay addresses of all other proxies, the best one first.
     peers: IndexMap<ProxyId, SocketAddr>,
     fallback: Fallback,
 }
@@ -48,12 +48,12 @@
         act(sources.entry(group.clone()).or_default())
     }
 
-    /// Takes over through which proxies a group is reached; none if by this one itself.
+    /// Sets the poolers of a group; empty if this proxy holds connections itself.
     pub fn set_poolers(&self, group: &GroupId, poolers: Vec<Pooler>) {
         self.with(group, |source| source.poolers = poolers);
     }
 
-    /// Takes over the other proxies, the best one first.
+    /// Sets the other proxies, the best one first.
     pub fn set_peers(&self, group: &GroupId, peers: IndexMap<ProxyId, SocketAddr>) {
         self.with(group, |source| source.peers = peers);
     }
@@ -83,44 +83,46 @@
 }
 
 impl Cx {
-    /// Waits for a connection to a group, of this proxy or of another one.
-    pub async fn checkout(&self, group: &GroupId, mut ask: ConnRequest) -> Result<Lent, Rejection> {
-        while clock::now() < ask.deadline {
-            match self.checkout_pooler(group, &ask).await {
-                Ok(end) => return end,
-                Err(Next::OwnPool | Next::NextPooler) => {
-                    return self.checkout_local(group, ask).await;
-                }
+    /// Waits for a connection to a group, from this proxy or from another one.
+    pub async fn checkout(&self, group: &GroupId, mut req: ConnRequest) -> Result<Lent, Rejection> {
+        while clock::now() < req.deadline {
+            match self.pooler_conn(group, &req).await {
+                Ok(result) => return result,
+                Err(Next::OwnPool | Next::NextPooler) => return self.own_conn(group, req).await,
                 Err(Next::RetryAfter(pause)) => compio::time::sleep(pause.as_duration()).await,
-                Err(Next::Fallback) => match self.checkout_remote(group, &ask).await {
-                    Some(end) => return end,
-                    // Nobody reaches it, so a carrier waits for it on the statement's behalf.
-                    None => ask.may_wait = true,
+                Err(Next::Fallback) => match self.remote_conn(group, &req).await {
+                    Some(result) => return result,
+                    // No proxy reaches the group, so the request waits at the pooler.
+                    None => req.may_wait = true,
                 },
             }
         }
         Err(unknown())
     }
 
-    /// Asks the carriers of this data centre; tells what to do if none of them serves the
-    /// request.
-    async fn checkout_pooler(
+    /// Requests a connection from the poolers of this data centre, one after the other;
+    /// returns the next step if none of them serves the request.
+    async fn pooler_conn(
         &self,
         group: &GroupId,
-        ask: &ConnRequest,
+        req: &ConnRequest,
     ) -> Result<Result<Lent, Rejection>, Next> {
-        let mut carriers = self.sources.poolers(group).into_iter().peekable();
-        let mut round = PoolerAttempts::default();
-        while let Some(carrier) = carriers.next() {
-            let Some(address) = carrier.address else {
+        let mut poolers = self.sources.poolers(group).into_iter().peekable();
+        let mut attempts = PoolerAttempts::default();
+        while let Some(pooler) = poolers.next() {
+            let Some(address) = pooler.address else {
                 // This proxy itself.
                 return Err(Next::OwnPool);
             };
-            match self.relay.ask(&carrier.proxy, address, group, ask).await {
+            match self
+                .relay
+                .checkout(&pooler.proxy, address, group, req)
+                .await
+            {
                 Ok(lent) => return Ok(Ok(lent)),
-                Err(relay::CheckoutFailure::Refused(refused)) => return Ok(Err(refused)),
-                Err(relay::CheckoutFailure::Elsewhere(miss)) => {
-                    match round.failed(miss, carriers.peek().is_some()) {
+                Err(relay::CheckoutFailure::Rejected(rejection)) => return Ok(Err(rejection)),
+                Err(relay::CheckoutFailure::NotGranted(failure)) => {
+                    match attempts.failed(failure, poolers.peek().is_some()) {
                         Next::NextPooler => {}
                         next => return Err(next),
                     }
@@ -130,34 +132,30 @@
         Err(Next::OwnPool)
     }
 
-    /// Waits for a connection of this proxy, or goes through another one if no instance that
-    /// could serve the request is in reach from here.
-    async fn checkout_local(
-        &self,
-        group: &GroupId,
-        mut ask: ConnRequest,
-    ) -> Result<Lent, Rejection> {
+    /// Waits for a connection of this proxy, or uses another proxy if no instance that could
+    /// serve the request is reachable from here.
+    async fn own_conn(&self, group: &GroupId, mut req: ConnRequest) -> Result<Lent, Rejection> {
         let Some(handle) = self.group(group) else {
             return Err(unknown());
         };
         loop {
-            match handle.ask(ask.clone()).await {
-                Err(refused) if refused.reason == Reason::Unreachable && !ask.may_wait => {}
-                end => return end,
+            match handle.ask(req.clone()).await {
+                Err(rejection) if rejection.reason == Reason::Unreachable && !req.may_wait => {}
+                result => return result,
             }
-            match self.checkout_remote(group, &ask).await {
-                Some(end) => return end,
-                None => ask.may_wait = true,
+            match self.remote_conn(group, &req).await {
+                Some(result) => return result,
+                None => req.may_wait = true,
             }
         }
     }
 
-    /// Asks other proxies; `None` if none of them serves the request, or another statement
-    /// is asking just now.
-    async fn checkout_remote(
+    /// Requests a connection from other proxies; `None` if none of them serves the request, or
+    /// another statement is searching for such a proxy at the moment.
+    async fn remote_conn(
         &self,
         group: &GroupId,
-        ask: &ConnRequest,
+        req: &ConnRequest,
     ) -> Option<Result<Lent, Rejection>> {
         let peers = match self.sources.fallback_choice(group) {
             FallbackChoice::Known(peer) => vec![peer],
@@ -169,18 +167,18 @@
                 self.sources.lost(group, &peer);
                 continue;
             };
-            match self.relay.ask(&peer, address, group, ask).await {
+            match self.relay.checkout(&peer, address, group, req).await {
                 Ok(lent) => {
                     if self.sources.found(group, &peer) {
-                        tracing::info!(%group, %peer, instance = %lent.instance, "a group out of reach is served through another proxy");
+                        tracing::info!(%group, %peer, instance = %lent.instance, "an unreachable group is served through another proxy");
                         if let Some(handle) = self.group(group) {
                             handle.release();
                         }
                     }
                     return Some(Ok(lent));
                 }
-                Err(relay::CheckoutFailure::Refused(refused)) => return Some(Err(refused)),
-                Err(relay::CheckoutFailure::Elsewhere(_)) => self.sources.lost(group, &peer),
+                Err(relay::CheckoutFailure::Rejected(rejection)) => return Some(Err(rejection)),
+                Err(relay::CheckoutFailure::NotGranted(_)) => self.sources.lost(group, &peer),
             }
         }
         None
--- a/crates/front/src/conn.rs
+++ b/crates/front/src/conn.rs
@@ -1,5 +1,5 @@
-//! A connection to an instance: one statement at a time, with the session's values and
-//! prepared statements brought into place first.
+//! A connection to an instance: runs one statement at a time, after it has set up the session
+//! values and prepared statements that the statement needs.
 
 use std::io;
 use std::net::SocketAddr;
@@ -21,23 +21,23 @@
 use crate::relay::Held;
 use crate::stream::{self, Reader, StreamError, Writer};
 
-/// Statements that stay prepared on a connection; beyond them all are forgotten at once,
-/// which bounds the instance's memory.
+/// Number of prepared statements on a connection above which all are dropped at once, which
+/// bounds the instance's memory.
 const MAX_PREPARED: usize = 64;
 
-/// Why a connection gives no answer.
+/// Why a connection has no response.
 #[derive(Debug, thiserror::Error)]
 pub enum ConnError {
-    /// The connection cannot be used any more.
+    /// The connection is no longer usable.
     #[error(transparent)]
     Stream(#[from] StreamError),
-    /// No answer came in time.
-    #[error("no answer in time")]
+    /// No response in time.
+    #[error("no response in time")]
     Timeout,
-    /// The answer cannot be read.
+    /// The response cannot be parsed.
     #[error(transparent)]
     Line(#[from] line::LineError),
-    /// The instance refused.
+    /// The instance returned an error.
     #[error("refused with {0:?}")]
     Refused(Code),
 }
@@ -51,16 +51,16 @@
 /// Values of a session by name.
 pub type Values = IndexMap<Arc<str>, Arc<str>>;
 
-/// How a statement ended.
+/// The response to a statement.
 #[derive(Clone, Debug)]
 pub struct Response {
-    /// The failure, if it has no result.
+    /// The error, if the statement has no result.
     pub code: Option<Code>,
-    /// State of the connection after it.
+    /// Transaction state of the connection after the statement.
     pub state: TxState,
-    /// End of the instance's log after it.
+    /// End of the instance's log after the statement.
     pub point: Option<Point>,
-    /// Rows and result, as they came.
+    /// Rows and result, as received.
     pub lines: Vec<u8>,
 }
 
@@ -70,31 +70,31 @@
     writer: Writer,
     /// Session values that the instance holds.
     values: Values,
-    /// Prepared statements, by what they run, with the connection's own names for them.
+    /// Names of the prepared statements on this connection, by access and text.
     prepared: IndexMap<Shape, Arc<str>>,
     names: u64,
-    /// What the connection proved about the primary's log last.
+    /// The last proof of the end of the primary's log on this connection.
     proof: Option<Proof>,
-    /// Whether a transaction is open on it.
+    /// Whether a transaction is open on the connection.
     state: TxState,
-    /// Time of the last statement that an instance worked on.
+    /// Response time of the last statement.
     took: Option<Span>,
-    /// End of the instance's log, as its last answer showed it.
-    shown: Option<Point>,
-    /// When it was known to be open.
+    /// End of the instance's log, as its last response showed it.
+    last_log_end: Option<Point>,
+    /// When the connection was known to be open.
     opened: Time,
 }
 
-/// What a connection must hold before a statement runs on it.
+/// State that a statement needs on its connection.
 #[derive(Clone, Copy, Debug)]
 pub struct Setup<'a> {
-    /// Values of the session; `None` leaves what the connection holds.
+    /// Values of the session; `None` leaves the connection's values unchanged.
     pub values: Option<&'a Values>,
-    /// Statement that must be prepared.
+    /// Statement to prepare.
     pub shape: Option<&'a Shape>,
     /// Transaction to open.
     pub begin: Option<(Access, Option<Point>)>,
-    /// Whether the instance must prove that it leads.
+    /// Whether the instance must first prove that it is the primary.
     pub verify_primary: bool,
 }
 
@@ -123,11 +123,11 @@
                 Reply::Row | Reply::Done => Err(line::LineError::Word.into()),
             }
         };
-        within(limit, opening).await
+        with_timeout(limit, opening).await
     }
 
-    /// A connection that leads to an instance through another proxy.
-    pub fn bare(stream: TcpStream) -> Result<Self, ConnError> {
+    /// A connection to an instance through another proxy; there is no handshake.
+    pub fn through_proxy(stream: TcpStream) -> Result<Self, ConnError> {
         let (reader, writer) = stream::split(stream)?;
         Ok(Self::new(reader, writer))
     }
@@ -142,17 +142,17 @@
             proof: None,
             state: TxState::Idle,
             took: None,
-            shown: None,
+            last_log_end: None,
             opened: clock::now(),
         }
     }
 
-    /// When it was known to be open.
+    /// When the connection was known to be open.
     pub fn opened(&self) -> Time {
         self.opened
     }
 
-    /// What the instance holds for this connection.
+    /// State that the instance holds for this connection.
     pub fn held(&self) -> Held {
         let prepared = self.prepared.iter();
         Held {
@@ -162,201 +162,210 @@
         }
     }
 
-    /// Takes over what the instance holds, as another proxy tells it.
+    /// Sets the state that the instance holds, as another proxy reports it.
     pub fn set_held(&mut self, held: &Held) {
         self.values.clone_from(&held.values);
         self.prepared = held.shapes();
         self.names = held.names;
     }
 
-    /// Takes over what came of statements that another proxy ran.
-    pub fn set_outcome(&mut self, proof: Option<Proof>, took: Option<Span>, shown: Option<Point>) {
+    /// Sets the outcome of statements that another proxy ran.
+    pub fn set_outcome(
+        &mut self,
+        proof: Option<Proof>,
+        took: Option<Span>,
+        last_log_end: Option<Point>,
+    ) {
         self.proof = proof;
         self.took = took;
-        self.shown = shown;
+        self.last_log_end = last_log_end;
     }
 
-    /// End of the instance's log, if an answer showed it since the last call.
+    /// Takes the end of the instance's log, if a response showed it since the last call.
     pub fn take_log_end(&mut self) -> Option<Point> {
-        self.shown.take()
+        self.last_log_end.take()
     }
 
-    /// Both directions, for passing lines on as they are.
+    /// Both directions, for forwarding lines unchanged.
     pub fn halves(&mut self) -> (&mut Reader, &mut Writer) {
         (&mut self.reader, &mut self.writer)
     }
 
-    /// Sends bytes as they are.
+    /// Sends bytes unchanged.
     pub async fn send(&mut self, bytes: Vec<u8>) -> Result<(), ConnError> {
         Ok(self.writer.send(bytes).await?)
     }
 
     /// Waits for one line.
     pub async fn line(&mut self, limit: Duration) -> Result<&[u8], ConnError> {
-        within(limit, async { Ok(self.reader.line().await?) }).await
+        with_timeout(limit, async { Ok(self.reader.line().await?) }).await
     }
 
     /// Waits for a line that may be long, as [`Reader::long_line`] does.
-    pub async fn long_line(&mut self, begin: Span, go_on: Span) -> Result<&[u8], ConnError> {
-        let (begin, go_on) = (begin.as_duration(), go_on.as_duration());
-        Ok(self.reader.long_line(begin, go_on).await?)
+    pub async fn long_line(
+        &mut self,
+        first_timeout: Span,
+        next_timeout: Span,
+    ) -> Result<&[u8], ConnError> {
+        let (first, next) = (first_timeout.as_duration(), next_timeout.as_duration());
+        Ok(self.reader.long_line(first, next).await?)
     }
 
-    /// Whether no transaction is open on it.
+    /// Whether no transaction is open on the connection.
     pub fn is_idle(&self) -> bool {
         self.state == TxState::Idle
     }
 
-    /// What it proved about the primary's log since the last call.
+    /// Takes the proof of the end of the primary's log, if there is one since the last call.
     pub fn take_proof(&mut self) -> Option<Proof> {
         self.proof.take()
     }
 
-    /// Time of the last statement, if one ran since the last call.
+    /// Takes the response time of the last statement, if one ran since the last call.
     pub fn take_duration(&mut self) -> Option<Span> {
         self.took.take()
     }
 
-    /// Notes that the answer shows the instance leading when it was asked at `since`.
-    pub fn record_proof(&mut self, since: Time, answer: &Response) {
-        if let Some(point) = answer.point {
+    /// Records that the response to a query of time `since` shows the instance to be the primary.
+    pub fn record_proof(&mut self, since: Time, response: &Response) {
+        if let Some(point) = response.point {
             self.proof = Some(Proof { since, point });
         }
     }
 
-    /// Brings the connection into the state that a statement needs; a refusal of any part
-    /// is the answer. Nothing of the caller has run then.
+    /// Sets up the state that a statement needs. If the instance rejects a step, the first error
+    /// is returned, and no statement of the caller has run.
     pub async fn set_up(
         &mut self,
         setup: Setup<'_>,
         limit: Duration,
     ) -> Result<SetupOutcome, ConnError> {
-        let (buf, expected) = self.plan(setup);
-        if expected.is_empty() {
+        let (buf, steps) = self.plan_setup(setup);
+        if steps.is_empty() {
             return Ok(SetupOutcome::Ready);
         }
         let since = clock::now();
-        within(limit, async {
+        with_timeout(limit, async {
             self.writer.send(buf).await?;
-            let mut refused = None;
-            for what in expected {
-                let answer = self.read_answer().await?;
-                match (answer.code, what) {
-                    (Some(code), _) => refused = refused.or(Some(code)),
-                    (None, Part::Lead) => self.record_proof(since, &answer),
-                    (None, Part::Other) => {}
+            let mut rejection = None;
+            for step in steps {
+                let response = self.read_response().await?;
+                match (response.code, step) {
+                    (Some(code), _) => rejection = rejection.or(Some(code)),
+                    (None, SetupStep::Leadership) => self.record_proof(since, &response),
+                    (None, SetupStep::Other) => {}
                 }
             }
-            Ok(refused.map_or(SetupOutcome::Ready, SetupOutcome::Refused))
+            Ok(rejection.map_or(SetupOutcome::Ready, SetupOutcome::Rejected))
         })
         .await
     }
 
-    fn plan(&mut self, setup: Setup<'_>) -> (Vec<u8>, Vec<Part>) {
+    fn plan_setup(&mut self, setup: Setup<'_>) -> (Vec<u8>, Vec<SetupStep>) {
         let mut buf = Vec::new();
-        let mut parts = Vec::new();
-        let mut put = |own: &Own<'_>, part| {
+        let mut steps = Vec::new();
+        let mut put = |own: &Own<'_>, step| {
             line::put_own(&mut buf, own);
-            parts.push(part);
+            steps.push(step);
         };
-        let gone = |values: &Values| self.values.keys().any(|k| !values.contains_key(k));
-        let crowded = self.prepared.len() > MAX_PREPARED && self.state == TxState::Idle;
-        if setup.values.is_some_and(gone) || crowded {
-            put(&Own::Reset, Part::Other);
+        let has_removed = |values: &Values| self.values.keys().any(|k| !values.contains_key(k));
+        let too_many = self.prepared.len() > MAX_PREPARED && self.state == TxState::Idle;
+        if setup.values.is_some_and(has_removed) || too_many {
+            put(&Own::Reset, SetupStep::Other);
             self.values.clear();
             self.prepared.clear();
         }
         for (name, value) in setup.values.into_iter().flatten() {
             if self.values.get(name) != Some(value) {
-                put(&Own::Set(name, value), Part::Other);
+                put(&Own::Set(name, value), SetupStep::Other);
                 self.values.insert(name.clone(), value.clone());
             }
         }
         if let Some(shape) = setup.shape.filter(|s| !self.prepared.contains_key(*s)) {
             self.names += 1;
             let name: Arc<str> = format!("p{}", self.names).into();
-            put(&Own::Prepare(&name, shape), Part::Other);
+            put(&Own::Prepare(&name, shape), SetupStep::Other);
             self.prepared.insert(shape.clone(), name);
         }
         if setup.verify_primary {
-            put(&Own::Begin(Access::Write, None), Part::Lead);
-            put(&Own::Rollback, Part::Other);
+            put(&Own::Begin(Access::Write, None), SetupStep::Leadership);
+            put(&Own::Rollback, SetupStep::Other);
         }
         if let Some((access, after)) = setup.begin {
-            let part = match access {
-                Access::Write => Part::Lead,
-                Access::Read => Part::Other,
+            let step = match access {
+                Access::Write => SetupStep::Leadership,
+                Access::Read => SetupStep::Other,
             };
-            put(&Own::Begin(access, after), part);
+            put(&Own::Begin(access, after), step);
         }
-        (buf, parts)
+        (buf, steps)
     }
 
-    /// The connection's own name of a prepared statement.
+    /// The name of a prepared statement on this connection.
     pub fn prepared_name(&self, shape: &Shape) -> Option<Arc<str>> {
         self.prepared.get(shape).cloned()
     }
 
-    /// The instance does not know a statement that it was taken to hold.
-    pub fn forget_prepared(&mut self) {
+    /// Called when the instance does not know a prepared statement that it was assumed to hold.
+    pub fn clear_prepared(&mut self) {
         self.prepared.clear();
     }
 
-    /// Sends one statement and waits for its answer.
+    /// Sends one statement and waits for its response.
     pub async fn run(&mut self, buf: Vec<u8>, limit: Duration) -> Result<Response, ConnError> {
         let since = clock::now();
-        let answer = within(limit, async {
+        let response = with_timeout(limit, async {
             self.writer.send(buf).await?;
-            self.read_answer().await
+            self.read_response().await
         });
-        let answer = answer.await?;
+        let response = response.await?;
         self.took = Some(clock::now().since(since));
-        Ok(answer)
+        Ok(response)
     }
 
-    /// Drops the open transaction.
+    /// Rolls back the open transaction.
     pub async fn roll_back(&mut self, limit: Duration) -> Result<(), ConnError> {
         let mut buf = Vec::new();
         line::put_own(&mut buf, &Own::Rollback);
-        let answer = within(limit, async {
+        let response = with_timeout(limit, async {
             self.writer.send(buf).await?;
-            self.read_answer().await
+            self.read_response().await
         });
-        match answer.await?.state {
+        match response.await?.state {
             TxState::Idle => Ok(()),
             TxState::Open | TxState::Failed => Err(ConnError::Timeout),
         }
     }
 
-    /// Sends a statement that is answered with the instance's role and log.
+    /// Sends a status query or command; the response contains the instance's role and log.
     pub async fn state(&mut self, own: &Own<'_>, limit: Duration) -> Result<State, ConnError> {
-        let answer = self.tell(own, limit).await?;
-        match answer.code {
+        let response = self.execute(own, limit).await?;
+        match response.code {
             Some(code) => Err(ConnError::Refused(code)),
-            None => parse_state(&answer),
+            None => parse_state(&response),
         }
     }
 
-    /// End of the log that the instance holds at least: what it has received, or without a
-    /// slot for the question what it has applied of that.
+    /// A lower bound of the end of the instance's log: the end of what it has received or, if it
+    /// has no free slot for the query, of what it has applied.
     pub async fn log_end(&mut self, limit: Duration) -> Result<Option<Point>, ConnError> {
-        let answer = self.tell(&Own::Status, limit).await?;
-        // The time says nothing about callers' statements.
+        let response = self.execute(&Own::Status, limit).await?;
+        // This response time must not count as one of callers' statements.
         self.took = None;
-        match answer.code {
-            Some(Code::Busy) => Ok(answer.point),
+        match response.code {
+            Some(Code::Busy) => Ok(response.point),
             Some(code) => Err(ConnError::Refused(code)),
-            None => parse_state(&answer).map(|state| Some(state.received)),
+            None => parse_state(&response).map(|state| Some(state.received)),
         }
     }
 
-    async fn tell(&mut self, own: &Own<'_>, limit: Duration) -> Result<Response, ConnError> {
+    async fn execute(&mut self, own: &Own<'_>, limit: Duration) -> Result<Response, ConnError> {
         let mut buf = Vec::new();
         line::put_own(&mut buf, own);
         self.run(buf, limit).await
     }
 
-    async fn read_answer(&mut self) -> Result<Response, ConnError> {
+    async fn read_response(&mut self) -> Result<Response, ConnError> {
         let mut lines = Vec::new();
         let mut code = None;
         loop {
@@ -364,7 +373,7 @@
             match line::reply(text)? {
                 Reply::Ready { state, point } => {
                     self.state = state;
-                    self.shown = point.or(self.shown);
+                    self.last_log_end = point.or(self.last_log_end);
                     return Ok(Response {
                         code,
                         state,
@@ -380,18 +389,18 @@
         }
     }
 
-    /// Closes the connection in the way that the protocol asks for.
+    /// Closes the connection as the protocol requires.
     pub async fn close(mut self) {
         let mut buf = Vec::new();
         line::put_bye(&mut buf);
-        // The instance drops the connection as well if it does not read this.
+        // Without this message the instance closes the connection as well.
         let _ = self.writer.send(buf).await;
         let _ = self.writer.finish().await;
     }
 }
 
-fn parse_state(answer: &Response) -> Result<State, ConnError> {
-    let row = answer.lines.split(|b| *b == b'\r').next();
+fn parse_state(response: &Response) -> Result<State, ConnError> {
+    let row = response.lines.split(|b| *b == b'\r').next();
     let row = row.and_then(|r| std::str::from_utf8(r).ok());
     let row = row.and_then(|r| r.strip_prefix("ROW "));
     let state = row.and_then(status::parse);
@@ -403,18 +412,18 @@
 pub enum SetupOutcome {
     /// The statement may be sent.
     Ready,
-    /// The instance refused a part.
-    Refused(Code),
+    /// The instance rejected a step.
+    Rejected(Code),
 }
 
 #[derive(Clone, Copy)]
-enum Part {
-    /// Shows that the instance leads.
-    Lead,
+enum SetupStep {
+    /// Success proves that the instance is the primary.
+    Leadership,
     Other,
 }
 
-async fn within<T>(
+async fn with_timeout<T>(
     limit: Duration,
     exchange: impl Future<Output = Result<T, ConnError>>,
 ) -> Result<T, ConnError> {
@@ -424,15 +433,16 @@
     }
 }
 
-/// Appends a caller's statement in the form that this connection needs.
+/// Appends a caller's statement in the form for this connection; `false` if it is not prepared
+/// there.
 pub fn put_statement(
     conn: &Conn,
     buf: &mut Vec<u8>,
     id: &StatementId,
     after: Option<Point>,
-    what: &Payload,
+    payload: &Payload,
 ) -> bool {
-    match what {
+    match payload {
         Payload::Text(text) => match after {
             Some(point) => line::put_query_after(buf, id, point, text),
             None => line::put_query(buf, id, text),
@@ -447,17 +457,17 @@
     true
 }
 
-/// What a caller's statement runs.
+/// The content of a caller's statement.
 #[derive(Clone, Debug)]
 pub enum Payload {
-    /// Its own text.
+    /// A statement with its own text.
     Text(Arc<str>),
-    /// A prepared statement with what follows its name.
+    /// A prepared statement, with the text that follows its name in the call.
     Prepared(Shape, Arc<str>),
 }
 
 impl Payload {
-    /// The statement that must be prepared for it.
+    /// The prepared statement that it needs.
     pub fn shape(&self) -> Option<&Shape> {
         match self {
             Self::Text(_) => None,
--- a/crates/front/src/group/lent.rs
+++ b/crates/front/src/group/lent.rs
@@ -97,7 +97,9 @@
             }
             Home::Relayed(return_path, notes) => {
                 let notes = notes.take();
-                return_path.prove(conn, notes, write, give_up).await
+                return_path
+                    .release_acknowledged(conn, notes, write, give_up)
+                    .await
             }
         }
     }
--- a/crates/front/src/group/probe.rs
+++ b/crates/front/src/group/probe.rs
@@ -221,8 +221,8 @@
     let asked = clock::now();
     match conn.set_up(setup, limit).await {
         Ok(SetupOutcome::Ready) => conn.take_proof().ok_or(ProbeFailure::Down),
-        Ok(SetupOutcome::Refused(Code::ReadOnly)) => Err(ProbeFailure::Follows),
-        Ok(SetupOutcome::Refused(code)) => {
+        Ok(SetupOutcome::Rejected(Code::ReadOnly)) => Err(ProbeFailure::Follows),
+        Ok(SetupOutcome::Rejected(code)) => {
             tracing::info!(?code, asked = %asked, "a question to an instance was refused");
             Err(ProbeFailure::Down)
         }
--- a/crates/front/src/relay.rs
+++ b/crates/front/src/relay.rs
@@ -1,10 +1,10 @@
-//! Lending connections to another proxy of the data centre.
+//! Checkout of connections from another proxy.
 //!
-//! A proxy without connections of its own to a group asks a carrier for one, speaks to the
-//! instance through it, and returns it. Between the two runs one TCP connection for each
-//! loan under way; it is used again for the next one. Messages of the proxies are lines
-//! that begin with [`MARK`], which no line of an instance does; all other lines are passed
-//! on as they are.
+//! A proxy without connections of its own to a group (the client proxy) requests one from a
+//! pooler, exchanges statements with the instance through the pooler, and returns the
+//! connection. Each checkout in progress uses one TCP connection between the two proxies,
+//! which is reused afterwards. Messages between the proxies are lines that begin with
+//! [`MARK`], which no line of an instance does; all other lines are forwarded unchanged.
 
 mod client;
 mod pooler;
@@ -29,93 +29,93 @@
 pub use client::{CheckoutFailure, Client, ReturnPath};
 pub use pooler::serve;
 
-/// Begins a message between proxies.
+/// First byte of a message between proxies.
 const MARK: u8 = b'!';
 
-/// Longest wait until the carrier has heard a request. It is in the same data centre and
-/// answers within a millisecond; one that stands still is passed over.
-const HEARD: Duration = Duration::from_millis(150);
+/// Longest wait until the pooler confirms that it has received a request. It is in the same
+/// data centre and confirms within a millisecond; one that doesn't is skipped.
+const RECEIPT_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// What a statement needs of its connection; a coordinator's questions are not relayed.
+/// Kind of a relayed request; a coordinator's queries are not relayed.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 enum WireKind {
     Write,
     Read(Guarantee),
 }
 
-/// A message to the carrier.
+/// A message to the pooler.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 enum ToPooler {
-    /// Asks for a connection.
+    /// Requests a connection.
     Ask {
         group: GroupId,
         kind: WireKind,
         own: Option<Point>,
-        /// Time since the statement arrived. The carrier counts from when it reads the
-        /// message, later than the statement arrived, so that reads get fresher data than
-        /// they need, never older.
+        /// Time since the statement arrived. The pooler subtracts it from the time at which it
+        /// reads the message, so the arrival that it assumes is later than the true one: reads
+        /// get fresher data than they need, never older.
         waited: Span,
-        /// Time until the caller is refused.
+        /// Time until the request is rejected.
         left: Span,
         priority: u8,
         avoid: Option<InstanceId>,
-        /// Whether the statement waits for an instance that is out of reach.
+        /// Whether the request may wait for an unreachable instance.
         #[serde(default)]
         patient: bool,
     },
-    /// Gives it back.
+    /// Returns the connection.
     Return(Returned),
-    /// Asks for what the store told after a revision, within a time; it is answered by
-    /// `Heard`, and then by `News` or `Elsewhere`.
+    /// Queries the store's updates after a revision, and waits up to `wait` for them. The
+    /// response is `Heard`, and then `News` or `Elsewhere`.
     Follow { after: Revision, wait: Span },
-    /// Asks whether a replica holds a write that ran on a lent connection; it is answered by
-    /// `Proved`.
+    /// Queries whether a replica holds a write that ran on a connection of the pooler. The
+    /// response is `Proved`.
     Prove {
         group: GroupId,
         primary: InstanceId,
         point: Point,
-        /// Time until the caller waits no longer.
+        /// Time until the query times out.
         left: Span,
     },
-    /// Asks which groups have a change of primary under way, as the store tells after it has
-    /// read this; the question may be put off for some time. It is answered by `Heard`, and
-    /// then by `Changing` or `Elsewhere`.
+    /// Queries which groups have a change of primary in progress, as the store reports after the
+    /// receipt of this message; the receiver may delay its query to the store by up to `within`.
+    /// The response is `Heard`, and then `Changing` or `Elsewhere`.
     Changes { within: Span },
-    /// Tells what the sender finds wrong with the groups; it is answered by `Heard`.
+    /// Reports what the sender finds wrong with the groups. The response is `Heard`.
     Report { by: ProxyId, concerns: Concerns },
 }
 
-/// What is known of a connection that comes back.
+/// State of a returned connection, and what the client proxy learned on it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 struct Returned {
-    /// Whether it can be used again; if not, the carrier closes it.
+    /// Whether it can be reused; if not, the pooler closes it.
     usable: bool,
     held: Held,
-    /// End of the primary's log, if the instance proved during the loan that it leads. The
-    /// carrier dates the proof from when it lent the connection: both clocks agree that
-    /// this was earlier, so reads get fresher data than they need, never older.
+    /// End of the primary's log, if the instance proved during the checkout that it leads. The
+    /// pooler dates the proof from when it granted the connection: by either clock this was
+    /// earlier, so reads get fresher data than they need, never older.
     proof: Option<Point>,
     took: Option<Span>,
-    /// End of the instance's log, as its last answer showed it.
+    /// End of the instance's log, as its last response showed it.
     shown: Option<Point>,
     notes: Vec<Note>,
 }
 
-/// What an instance holds for a connection.
+/// State that an instance holds for a connection.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Held {
     /// Session values.
     pub values: IndexMap<Arc<str>, Arc<str>>,
-    /// Prepared statements: whether they write, what they run, and the connection's name.
+    /// Prepared statements: whether they write, their text, and their name on the connection.
     pub prepared: Vec<(bool, Arc<str>, Arc<str>)>,
-    /// Names given out so far.
+    /// Number of names assigned so far.
     pub names: u64,
 }
 
-/// A message of the carrier.
+/// A message from the pooler.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 enum FromPooler {
-    /// The request has been read.
+    /// The request has been received.
     Heard,
     /// The connection follows.
     Granted {
@@ -126,22 +126,22 @@
     },
     /// Whether a replica holds the write.
     Proved(bool),
-    /// There is none.
+    /// The request is rejected.
     Refused(Rejection),
-    /// Groups with a change of primary under way.
+    /// Groups with a change of primary in progress.
     Changing(IndexSet<GroupId>),
-    /// What the store told.
+    /// Updates of the store.
     News(Packed),
-    /// The carrier does not know the group yet.
+    /// The pooler does not know the group yet.
     Starting,
-    /// The carrier reaches no instance that could serve the request.
+    /// The pooler reaches no instance that could serve the request.
     OutOfReach,
-    /// The carrier stops, or does not reach the store: ask another one.
+    /// The pooler stops, or does not reach the store; another proxy may be queried.
     Elsewhere,
 }
 
 impl Held {
-    /// A prepared statement in the form that is sent.
+    /// A prepared statement in its serialised form.
     pub fn prepared(shape: &Shape, name: &Arc<str>) -> (bool, Arc<str>, Arc<str>) {
         let writes = shape.access == Access::Write;
         (writes, shape.text.clone(), name.clone())
@@ -158,9 +158,9 @@
     }
 }
 
-fn to_wire(group: &GroupId, ask: &ConnRequest) -> Option<ToPooler> {
+fn to_wire(group: &GroupId, request: &ConnRequest) -> Option<ToPooler> {
     let now = clock::now();
-    let kind = match &ask.kind {
+    let kind = match &request.kind {
         Kind::Write => WireKind::Write,
         Kind::Read(guarantee) => WireKind::Read(*guarantee),
         Kind::Control(_) => return None,
@@ -168,12 +168,12 @@
     Some(ToPooler::Ask {
         group: group.clone(),
         kind,
-        own: ask.own_write,
-        waited: now.since(ask.arrived),
-        left: ask.deadline.since(now),
-        priority: ask.priority,
-        avoid: ask.avoid.clone(),
-        patient: ask.may_wait,
+        own: request.own_write,
+        waited: now.since(request.arrived),
+        left: request.deadline.since(now),
+        priority: request.priority,
+        avoid: request.avoid.clone(),
+        patient: request.may_wait,
     })
 }
 
@@ -197,7 +197,7 @@
         WireKind::Read(guarantee) => Kind::Read(guarantee),
     };
     let arrived = now.as_micros().saturating_sub(waited.as_micros());
-    let ask = ConnRequest {
+    let request = ConnRequest {
         kind,
         own_write: own,
         arrived: Time::from_micros(arrived),
@@ -206,12 +206,12 @@
         avoid,
         may_wait: patient,
     };
-    Some((group, ask))
+    Some((group, request))
 }
 
 fn encode(message: &impl Serialize) -> Vec<u8> {
     let mut line = vec![MARK];
-    // The messages hold only texts and numbers, which always can be written.
+    // Messages contain only texts and numbers, so serialisation cannot fail.
     line.extend(serde_json::to_vec(message).unwrap_or_default());
     line.extend_from_slice(platform::line::END);
     line
@@ -222,7 +222,7 @@
     match serde_json::from_slice(body) {
         Ok(message) => Some(message),
         Err(e) => {
-            tracing::warn!(cause = %e, "a message of another proxy cannot be read");
+            tracing::warn!(cause = %e, "a message from another proxy cannot be parsed");
             None
         }
     }
--- a/crates/front/src/relay/client.rs
+++ b/crates/front/src/relay/client.rs
@@ -1,4 +1,4 @@
-//! Asking a carrier for a connection.
+//! The client proxy's side: requests connections from poolers, and queries store readers.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -15,106 +15,110 @@
 use store::client::TIME_LIMIT;
 use store::mirror::Update;
 
-use super::{FromPooler, HEARD, Returned, ToPooler, decode, encode, to_wire};
+use super::{FromPooler, RECEIPT_TIMEOUT, Returned, ToPooler, decode, encode, to_wire};
 use crate::clock;
 use crate::concern::Concerns;
 use crate::conn::{Conn, ConnError};
 use crate::feed::PackError;
 use crate::group::{Lent, Note};
 
-/// Connections to one carrier that stay open while no loan uses them.
+/// Most idle connections that are kept open to one proxy.
 const MAX_IDLE: usize = 8;
 
-/// Time for which a carrier that did not answer is passed over. Shorter than a restart
-/// takes; each try costs a statement up to the time that a carrier has for hearing it.
-const PASS_OVER: Span = Span::from_millis(400);
+/// Time for which an unresponsive pooler is skipped. It is shorter than a restart; each
+/// attempt delays a statement by up to `RECEIPT_TIMEOUT`.
+const SKIP_FOR: Span = Span::from_millis(400);
 
-/// Time that a carrier's final answer may take beyond the request's time.
+/// Time that a pooler's final response may take beyond the request's deadline.
 const GRACE: Span = Span::from_millis(100);
 
-/// Longest wait until a reader has heard a question, and between two parts of its news.
+/// Longest wait until a store reader confirms a query, and between two parts of its update.
 ///
-/// Load: a configuration of a megabyte, which the reader fetches, packs and sends to all of
-/// its data centre over a link of a few Mbit/s. Harm of a shorter limit, or one on the whole
-/// answer: all followers give up at once and fetch the megabyte themselves, which fills the
-/// link between the regions for longer than their next tries last.
-const ARRIVES: Span = Span::from_millis(1_000);
+/// A store reader may have to fetch, pack and send a configuration of a megabyte to its whole
+/// data centre over a link of a few Mbit/s. With a shorter timeout, or one for the whole
+/// response, all followers would time out at once and fetch the megabyte themselves, which
+/// fills the link between the regions for longer than their next attempts last.
+const PART_TIMEOUT: Span = Span::from_millis(1_000);
 
-/// Why a neighbour told nothing.
+/// Why a store reader sent no update.
 #[derive(Debug, thiserror::Error)]
 enum FollowError {
-    /// It did not answer.
+    /// It did not respond.
     #[error(transparent)]
     Conn(#[from] ConnError),
-    /// Its news cannot be read.
+    /// Its update cannot be unpacked.
     #[error(transparent)]
     Pack(#[from] PackError),
 }
 
-/// Why a carrier lent nothing.
+/// Why a pooler granted no connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CheckoutFailure {
-    /// The statement is refused; another carrier would not do better.
-    Refused(Rejection),
-    /// Another carrier may be asked.
-    Elsewhere(pooler_retry::GrantFailure),
+    /// The request is rejected; another pooler would reject it as well.
+    Rejected(Rejection),
+    /// Another pooler may serve the request.
+    NotGranted(pooler_retry::GrantFailure),
 }
 
-/// Connections to carriers.
+/// Connections to other proxies, and the poolers to skip for a while.
 #[derive(Clone, Default)]
 pub struct Client(Rc<Inner>);
 
 #[derive(Default)]
 struct Inner {
     idle: RefCell<IndexMap<ProxyId, Vec<Conn>>>,
-    passed_over: RefCell<IndexMap<ProxyId, Time>>,
+    skip_until: RefCell<IndexMap<ProxyId, Time>>,
 }
 
-/// The way back of a loan.
+/// Where a checked-out connection is returned.
 #[derive(Clone)]
 pub struct ReturnPath {
     client: Client,
-    carrier: ProxyId,
+    pooler: ProxyId,
     group: GroupId,
 }
 
 impl Client {
-    /// Asks one carrier.
-    pub async fn ask(
+    /// Requests a connection from one pooler.
+    pub async fn checkout(
         &self,
-        carrier: &ProxyId,
+        pooler: &ProxyId,
         address: SocketAddr,
         group: &GroupId,
-        ask: &ConnRequest,
+        request: &ConnRequest,
     ) -> Result<Lent, CheckoutFailure> {
         let now = clock::now();
-        let until = self.0.passed_over.borrow().get(carrier).copied();
+        let until = self.0.skip_until.borrow().get(pooler).copied();
         if until.is_some_and(|until| now < until) {
-            return Err(CheckoutFailure::Elsewhere(
+            return Err(CheckoutFailure::NotGranted(
                 pooler_retry::GrantFailure::Unresponsive,
             ));
         }
-        let idle = self.take_idle(carrier);
+        let idle = self.take_idle(pooler);
         let reused = idle.is_some();
-        let mut result = self.try_on(idle, carrier, address, group, ask).await;
-        if reused && matches!(result, Err(Trouble::Broken(_))) {
-            // The carrier may have restarted since the connection was used last.
-            result = self.try_on(None, carrier, address, group, ask).await;
+        let mut result = self
+            .try_checkout(idle, pooler, address, group, request)
+            .await;
+        if reused && matches!(result, Err(TryError::Broken(_))) {
+            // The pooler may have restarted since the connection was last used.
+            result = self
+                .try_checkout(None, pooler, address, group, request)
+                .await;
         }
         result.map_err(|e| match e {
-            Trouble::Refused(refused) => CheckoutFailure::Refused(refused),
-            Trouble::Elsewhere(miss) => CheckoutFailure::Elsewhere(miss),
-            Trouble::Broken(e) => {
-                tracing::warn!(%carrier, %group, cause = %e, "a carrier did not answer");
-                let until = clock::now() + PASS_OVER;
-                let mut passed_over = self.0.passed_over.borrow_mut();
-                passed_over.insert(carrier.clone(), until);
-                CheckoutFailure::Elsewhere(pooler_retry::GrantFailure::Unresponsive)
+            TryError::Rejected(rejection) => CheckoutFailure::Rejected(rejection),
+            TryError::NotGranted(failure) => CheckoutFailure::NotGranted(failure),
+            TryError::Broken(e) => {
+                tracing::warn!(carrier = %pooler, %group, cause = %e, "a pooler did not respond");
+                let until = clock::now() + SKIP_FOR;
+                let mut skip_until = self.0.skip_until.borrow_mut();
+                skip_until.insert(pooler.clone(), until);
+                CheckoutFailure::NotGranted(pooler_retry::GrantFailure::Unresponsive)
             }
         })
     }
 
-    /// Tells a proxy another one's concerns; says whether it heard them.
+    /// Sends a proxy what proxy `by` reports about the groups; returns whether it was received.
     pub async fn report(
         &self,
         to: &ProxyId,
@@ -130,13 +134,13 @@
         match self.try_report(idle, to, address, &report).await {
             Ok(()) => true,
             Err(e) => {
-                tracing::info!(%to, cause = %e, "a report was not heard");
+                tracing::info!(%to, cause = %e, "a report was not acknowledged");
                 false
             }
         }
     }
 
-    /// Follows a neighbour that reads the store: what it was told after a revision.
+    /// Queries a store reader for the updates after a revision.
     pub async fn follow(
         &self,
         reader: &ProxyId,
@@ -147,19 +151,19 @@
         let request = ToPooler::Follow { after, wait };
         let idle = self.take_idle(reader);
         let reused = idle.is_some();
-        let mut told = self.try_follow(idle, reader, address, &request, wait).await;
-        if reused && told.is_err() {
-            // The reader may have restarted since the connection was used last.
-            told = self.try_follow(None, reader, address, &request, wait).await;
+        let mut result = self.try_follow(idle, reader, address, &request, wait).await;
+        if reused && result.is_err() {
+            // The reader may have restarted since the connection was last used.
+            result = self.try_follow(None, reader, address, &request, wait).await;
         }
-        told.unwrap_or_else(|e| {
-            tracing::info!(%reader, cause = %e, "a neighbour told nothing of the store");
+        result.unwrap_or_else(|e| {
+            tracing::info!(%reader, cause = %e, "a store reader sent no update");
             None
         })
     }
 
-    /// Asks a neighbour that reads the store which groups have a change of primary under way;
-    /// it may put the question off for `within`.
+    /// Queries a store reader for the groups with a change of primary in progress; it may delay
+    /// its query to the store by up to `within`.
     pub async fn changes(
         &self,
         reader: &ProxyId,
@@ -168,13 +172,13 @@
     ) -> Option<IndexSet<GroupId>> {
         let idle = self.take_idle(reader);
         let reused = idle.is_some();
-        let mut told = self.try_changes(idle, reader, address, within).await;
-        if reused && told.is_err() {
-            // The reader may have restarted since the connection was used last.
-            told = self.try_changes(None, reader, address, within).await;
+        let mut result = self.try_changes(idle, reader, address, within).await;
+        if reused && result.is_err() {
+            // The reader may have restarted since the connection was last used.
+            result = self.try_changes(None, reader, address, within).await;
         }
-        told.unwrap_or_else(|e| {
-            tracing::info!(%reader, cause = %e, "a neighbour did not tell whether a change of primary is under way");
+        result.unwrap_or_else(|e| {
+            tracing::info!(%reader, cause = %e, "a store reader did not report the changes of primary in progress");
             None
         })
     }
@@ -191,13 +195,13 @@
             None => connect(address).await?,
         };
         conn.send(encode(&ToPooler::Changes { within })).await?;
-        let told = match read(&mut conn, Span::from(HEARD)).await? {
+        let result = match read(&mut conn, Span::from(RECEIPT_TIMEOUT)).await? {
             FromPooler::Heard => read(&mut conn, within + Span::from(TIME_LIMIT) + GRACE).await?,
             other => other,
         };
         self.keep(reader, conn);
-        match told {
-            FromPooler::Changing(noted) => Ok(Some(noted)),
+        match result {
+            FromPooler::Changing(groups) => Ok(Some(groups)),
             _ => Ok(None),
         }
     }
@@ -215,12 +219,12 @@
             None => connect(address).await?,
         };
         conn.send(encode(request)).await?;
-        let told = match read(&mut conn, ARRIVES).await? {
-            FromPooler::Heard => read_long(&mut conn, wait + ARRIVES, ARRIVES).await?,
+        let result = match read(&mut conn, PART_TIMEOUT).await? {
+            FromPooler::Heard => read_long(&mut conn, wait + PART_TIMEOUT, PART_TIMEOUT).await?,
             other => other,
         };
         self.keep(reader, conn);
-        match told {
+        match result {
             FromPooler::News(packed) => Ok(Some(packed.unpack()?)),
             _ => Ok(None),
         }
@@ -238,7 +242,7 @@
             None => connect(address).await?,
         };
         conn.send(encode(report)).await?;
-        match read(&mut conn, Span::from(HEARD)).await? {
+        match read(&mut conn, Span::from(RECEIPT_TIMEOUT)).await? {
             FromPooler::Heard => {
                 self.keep(to, conn);
                 Ok(())
@@ -247,29 +251,32 @@
         }
     }
 
-    async fn try_on(
+    async fn try_checkout(
         &self,
         conn: Option<Conn>,
-        carrier: &ProxyId,
+        pooler: &ProxyId,
         address: SocketAddr,
         group: &GroupId,
-        ask: &ConnRequest,
-    ) -> Result<Lent, Trouble> {
-        let request = to_wire(group, ask)
-            .ok_or(Trouble::Elsewhere(pooler_retry::GrantFailure::Unreachable))?;
+        request: &ConnRequest,
+    ) -> Result<Lent, TryError> {
+        let message = to_wire(group, request).ok_or(TryError::NotGranted(
+            pooler_retry::GrantFailure::Unreachable,
+        ))?;
         let mut conn = match conn {
             Some(conn) => conn,
-            None => connect(address).await.map_err(Trouble::Broken)?,
+            None => connect(address).await.map_err(TryError::Broken)?,
         };
-        conn.send(encode(&request)).await.map_err(Trouble::Broken)?;
-        let heard = read(&mut conn, Span::from(HEARD)).await;
-        match heard.map_err(Trouble::Broken)? {
+        conn.send(encode(&message))
+            .await
+            .map_err(TryError::Broken)?;
+        let receipt = read(&mut conn, Span::from(RECEIPT_TIMEOUT)).await;
+        match receipt.map_err(TryError::Broken)? {
             FromPooler::Heard => {}
-            other => return self.elsewhere(carrier, conn, &other),
+            other => return self.no_grant(pooler, conn, &other),
         }
-        let left = ask.deadline.since(clock::now());
+        let left = request.deadline.since(clock::now());
         let left = Span::from_micros(left.as_micros() + GRACE.as_micros());
-        match read(&mut conn, left).await.map_err(Trouble::Broken)? {
+        match read(&mut conn, left).await.map_err(TryError::Broken)? {
             FromPooler::Granted {
                 instance,
                 after,
@@ -279,27 +286,27 @@
                 conn.set_held(&held);
                 let return_path = ReturnPath {
                     client: self.clone(),
-                    carrier: carrier.clone(),
+                    pooler: pooler.clone(),
                     group: group.clone(),
                 };
                 Ok(Lent::relayed(return_path, instance, after, prove, conn))
             }
-            FromPooler::Refused(refused) => {
-                self.keep(carrier, conn);
-                Err(Trouble::Refused(refused))
+            FromPooler::Refused(rejection) => {
+                self.keep(pooler, conn);
+                Err(TryError::Rejected(rejection))
             }
-            other => self.elsewhere(carrier, conn, &other),
+            other => self.no_grant(pooler, conn, &other),
         }
     }
 
-    fn elsewhere(
+    fn no_grant(
         &self,
-        carrier: &ProxyId,
+        pooler: &ProxyId,
         conn: Conn,
-        answer: &FromPooler,
-    ) -> Result<Lent, Trouble> {
-        self.keep(carrier, conn);
-        Err(Trouble::Elsewhere(match answer {
+        response: &FromPooler,
+    ) -> Result<Lent, TryError> {
+        self.keep(pooler, conn);
+        Err(TryError::NotGranted(match response {
             FromPooler::Starting => pooler_retry::GrantFailure::Starting,
             FromPooler::OutOfReach => pooler_retry::GrantFailure::Unreachable,
             _ => pooler_retry::GrantFailure::Stopping,
@@ -310,9 +317,9 @@
         self.0.idle.borrow_mut().get_mut(of)?.pop()
     }
 
-    fn keep(&self, carrier: &ProxyId, conn: Conn) {
+    fn keep(&self, pooler: &ProxyId, conn: Conn) {
         let mut idle = self.0.idle.borrow_mut();
-        let idle = idle.entry(carrier.clone()).or_default();
+        let idle = idle.entry(pooler.clone()).or_default();
         if idle.len() < MAX_IDLE {
             idle.push(conn);
         }
@@ -320,15 +327,16 @@
 }
 
 impl ReturnPath {
-    /// Gives a loan back after a write, and asks the carrier whether a replica holds it.
-    pub async fn prove(
+    /// Returns a connection after a write, and queries the pooler whether a replica holds the
+    /// write.
+    pub async fn release_acknowledged(
         &self,
         mut conn: Conn,
         notes: Vec<Note>,
         write: Write,
-        give_up: Time,
+        deadline: Time,
     ) -> bool {
-        let left = give_up.since(clock::now());
+        let left = deadline.since(clock::now());
         let mut lines = encode(&ToPooler::Return(returned(&mut conn, true, notes)));
         lines.extend(encode(&ToPooler::Prove {
             group: self.group.clone(),
@@ -336,34 +344,34 @@
             point: write.point,
             left,
         }));
-        let asked = async {
+        let response = async {
             conn.send(lines).await?;
             read(&mut conn, left + GRACE).await
         };
-        match asked.await {
+        match response.await {
             Ok(FromPooler::Proved(proved)) => {
-                self.client.keep(&self.carrier, conn);
+                self.client.keep(&self.pooler, conn);
                 proved
             }
             Ok(_) => false,
             Err(e) => {
-                tracing::warn!(carrier = %self.carrier, group = %self.group, cause = %e, "a carrier did not tell whether a write is held");
+                tracing::warn!(carrier = %self.pooler, group = %self.group, cause = %e, "a pooler did not report whether a replica holds a write");
                 false
             }
         }
     }
 
-    /// Gives a loan back; `usable` says whether the connection may be lent again.
+    /// Returns a connection; `usable` says whether it may be reused.
     pub fn release(&self, mut conn: Conn, usable: bool, notes: Vec<Note>) {
         let returned = returned(&mut conn, usable, notes);
         let this = self.clone();
         compio::runtime::spawn(async move {
             match conn.send(encode(&ToPooler::Return(returned))).await {
-                Ok(()) if usable => this.client.keep(&this.carrier, conn),
-                // Closing it tells the carrier the same.
+                Ok(()) if usable => this.client.keep(&this.pooler, conn),
+                // The closed connection also tells the pooler that it is not usable.
                 Ok(()) => {}
                 Err(e) => {
-                    tracing::info!(carrier = %this.carrier, cause = %e, "a loan was not given back");
+                    tracing::info!(carrier = %this.pooler, cause = %e, "a connection could not be returned");
                 }
             }
         })
@@ -382,23 +390,27 @@
     }
 }
 
-/// Why one try brought no loan.
-enum Trouble {
-    Refused(Rejection),
-    Elsewhere(pooler_retry::GrantFailure),
+/// Why one attempt brought no connection.
+enum TryError {
+    Rejected(Rejection),
+    NotGranted(pooler_retry::GrantFailure),
     Broken(ConnError),
 }
 
 async fn connect(address: SocketAddr) -> Result<Conn, ConnError> {
-    let connecting = compio::time::timeout(HEARD, TcpStream::connect(address));
+    let connecting = compio::time::timeout(RECEIPT_TIMEOUT, TcpStream::connect(address));
     match connecting.await {
-        Ok(stream) => Conn::bare(stream?),
+        Ok(stream) => Conn::through_proxy(stream?),
         Err(_) => Err(ConnError::Timeout),
     }
 }
 
-async fn read_long(conn: &mut Conn, begin: Span, go_on: Span) -> Result<FromPooler, ConnError> {
-    let line = conn.long_line(begin, go_on).await?;
+async fn read_long(
+    conn: &mut Conn,
+    first_timeout: Span,
+    next_timeout: Span,
+) -> Result<FromPooler, ConnError> {
+    let line = conn.long_line(first_timeout, next_timeout).await?;
     decode(line).ok_or(ConnError::Timeout)
 }
 
--- a/crates/front/src/relay/pooler.rs
+++ b/crates/front/src/relay/pooler.rs
@@ -1,4 +1,4 @@
-//! Lending connections to other proxies.
+//! The pooler's side: grants connections to other proxies and answers their queries.
 
 use std::rc::Rc;
 
@@ -18,37 +18,37 @@
 use crate::stream::{self, Reader, StreamError, Writer};
 use platform::line;
 
-/// Takes connections of other proxies.
+/// Accepts and serves connections from other proxies.
 pub async fn serve(cx: Rc<Cx>, listener: TcpListener) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
                 let cx = cx.clone();
                 compio::runtime::spawn(async move {
-                    if let Err(e) = lend(&cx, stream).await {
-                        tracing::debug!(cause = %e, "another proxy went");
+                    if let Err(e) = serve_peer(&cx, stream).await {
+                        tracing::debug!(cause = %e, "the connection to another proxy ended");
                     }
                 })
                 .detach();
             }
             Err(e) => {
-                tracing::error!(cause = %e, "another proxy was not accepted");
+                tracing::error!(cause = %e, "a connection from another proxy was not accepted");
                 clock::sleep_until(clock::now() + Span::from_millis(20)).await;
             }
         }
     }
 }
 
-async fn lend(cx: &Rc<Cx>, stream: TcpStream) -> Result<(), StreamError> {
+async fn serve_peer(cx: &Rc<Cx>, stream: TcpStream) -> Result<(), StreamError> {
     let (mut reader, mut writer) = stream::split(stream)?;
     loop {
         let request = decode::<ToPooler>(reader.line().await?);
         let request = request.ok_or(StreamError::Closed)?;
         if !matches!(request, ToPooler::Ask { .. }) {
-            answer(cx, request, &mut writer).await?;
+            respond(cx, request, &mut writer).await?;
             continue;
         }
-        let Some((group, ask)) = from_wire(request) else {
+        let Some((group, request)) = from_wire(request) else {
             return Err(StreamError::Closed);
         };
         if cx.stop.phase() != Phase::Serving {
@@ -60,34 +60,34 @@
             continue;
         };
         writer.send(encode(&FromPooler::Heard)).await?;
-        // Counted like a session: the shutdown waits for what it carries.
+        // Counted like a session, so that the shutdown waits for the checkout.
         let _entered = cx.enter();
-        match handle.ask(ask).await {
-            Ok(lent) => carry(lent, &mut reader, &mut writer).await?,
-            Err(refused) if refused.reason == Reason::Unreachable => {
+        match handle.ask(request).await {
+            Ok(lent) => serve_checkout(lent, &mut reader, &mut writer).await?,
+            Err(rejection) if rejection.reason == Reason::Unreachable => {
                 writer.send(encode(&FromPooler::OutOfReach)).await?;
             }
-            Err(refused) => writer.send(encode(&FromPooler::Refused(refused))).await?,
+            Err(rejection) => writer.send(encode(&FromPooler::Refused(rejection))).await?,
         }
     }
 }
 
-/// Answers a request for something else than a connection.
-async fn answer(cx: &Rc<Cx>, request: ToPooler, writer: &mut Writer) -> Result<(), StreamError> {
-    let answer = match request {
+/// Responds to a request other than one for a connection.
+async fn respond(cx: &Rc<Cx>, request: ToPooler, writer: &mut Writer) -> Result<(), StreamError> {
+    let response = match request {
         ToPooler::Report { by, concerns } => {
             cx.concerns.told(by, concerns, clock::now());
             FromPooler::Heard
         }
         ToPooler::Follow { after, wait } => {
             writer.send(encode(&FromPooler::Heard)).await?;
-            let news = cx.feed.after(after, wait).await;
-            news.map_or(FromPooler::Elsewhere, FromPooler::News)
+            let update = cx.feed.after(after, wait).await;
+            update.map_or(FromPooler::Elsewhere, FromPooler::News)
         }
         ToPooler::Changes { within } => {
             writer.send(encode(&FromPooler::Heard)).await?;
             match cx.changes.ask_store(within).recv_async().await {
-                Ok(noted) => FromPooler::Changing(noted.as_ref().clone()),
+                Ok(groups) => FromPooler::Changing(groups.as_ref().clone()),
                 Err(flume::RecvError::Disconnected) => FromPooler::Elsewhere,
             }
         }
@@ -107,12 +107,12 @@
         ToPooler::Ask { .. } | ToPooler::Return(_) => return Err(StreamError::Closed),
     };
     writer
-        .send(encode(&answer))
+        .send(encode(&response))
         .await
         .map_err(StreamError::from)
 }
 
-async fn carry(
+async fn serve_checkout(
     mut lent: Lent,
     reader: &mut Reader,
     writer: &mut Writer,
@@ -123,27 +123,27 @@
         prove: lent.prove,
         held: lent.conn().map(|c| c.held()).unwrap_or_default(),
     };
-    let since = clock::now();
+    let granted_at = clock::now();
     writer.send(encode(&granted)).await?;
     let Some(conn) = lent.conn() else {
         return Err(StreamError::Closed);
     };
     match pipe(conn, reader, writer).await {
         Ok(returned) => {
-            settle(lent, since, returned);
+            release(lent, granted_at, returned);
             Ok(())
         }
-        Err(End::Instance(e)) => {
-            tracing::info!(instance = %lent.instance, cause = %e, "a lent connection broke");
+        Err(PipeError::Instance(e)) => {
+            tracing::info!(instance = %lent.instance, cause = %e, "a checked-out connection broke");
             lent.note(Note::Silent);
             Err(e)
         }
-        // The borrower is gone; its transaction goes with the connection.
-        Err(End::Borrower(e)) => Err(e),
+        // The client proxy is gone; closing the connection rolls its transaction back.
+        Err(PipeError::Client(e)) => Err(e),
     }
 }
 
-fn settle(mut lent: Lent, since: Time, returned: Returned) {
+fn release(mut lent: Lent, granted_at: Time, returned: Returned) {
     for note in returned.notes {
         lent.note(note);
     }
@@ -152,34 +152,41 @@
     }
     if let Some(conn) = lent.conn() {
         conn.set_held(&returned.held);
-        let proof = returned.proof.map(|point| Proof { since, point });
+        let proof = returned.proof.map(|point| Proof {
+            since: granted_at,
+            point,
+        });
         conn.set_outcome(proof, returned.took, returned.shown);
     }
     lent.give_back();
 }
 
-/// Why a loan ended without being given back.
-enum End {
+/// Which side ended a checkout before the connection was returned.
+enum PipeError {
     Instance(StreamError),
-    Borrower(StreamError),
+    Client(StreamError),
 }
 
-/// Passes lines on in both directions until the loan is given back.
+/// Forwards lines in both directions until the connection is returned.
 ///
-/// The directions run beside each other and neither read is ever cut off in between: a
-/// read that is dropped loses what it holds. The one that is dropped in the end holds
-/// nothing, since a borrower gives back only after the last answer.
-async fn pipe(conn: &mut Conn, reader: &mut Reader, writer: &mut Writer) -> Result<Returned, End> {
+/// The directions run concurrently and neither read is cancelled while the other goes on, since
+/// a cancelled read loses the bytes that it has received. The read that is cancelled at the end
+/// holds none, because a client proxy returns the connection only after the last response.
+async fn pipe(
+    conn: &mut Conn,
+    reader: &mut Reader,
+    writer: &mut Writer,
+) -> Result<Returned, PipeError> {
     let (from_instance, to_instance) = conn.halves();
-    let up = async {
+    let upstream = async {
         loop {
             let mut lines = Vec::new();
             loop {
-                let text = reader.line().await.map_err(End::Borrower)?;
+                let text = reader.line().await.map_err(PipeError::Client)?;
                 if text.first() == Some(&MARK) {
                     return match decode(text) {
                         Some(ToPooler::Return(returned)) => Ok(returned),
-                        _ => Err(End::Borrower(StreamError::Closed)),
+                        _ => Err(PipeError::Client(StreamError::Closed)),
                     };
                 }
                 lines.extend_from_slice(text);
@@ -189,18 +196,18 @@
                 }
             }
             let sent = to_instance.send(lines).await;
-            sent.map_err(|e| End::Instance(e.into()))?;
+            sent.map_err(|e| PipeError::Instance(e.into()))?;
         }
     };
-    let down = async {
+    let downstream = async {
         loop {
-            let chunk = from_instance.chunk().await.map_err(End::Instance)?;
+            let chunk = from_instance.chunk().await.map_err(PipeError::Instance)?;
             let sent = writer.send(chunk).await;
-            sent.map_err(|e| End::Borrower(e.into()))?;
+            sent.map_err(|e| PipeError::Client(e.into()))?;
         }
     };
-    futures_util::pin_mut!(up, down);
-    match future::select(up, down).await {
+    futures_util::pin_mut!(upstream, downstream);
+    match future::select(upstream, downstream).await {
         Either::Left((end, _)) | Either::Right((end, _)) => end,
     }
 }
--- a/crates/front/src/session.rs
+++ b/crates/front/src/session.rs
@@ -1,5 +1,5 @@
-//! One caller's session: reads its statements, carries them out one after the other, and
-//! answers each with exactly one answer.
+//! One caller's session: reads its statements, runs them one after the other, and sends
+//! exactly one reply to each.
 
 mod attempt;
 mod local;
@@ -26,40 +26,40 @@
 use crate::stop::Phase;
 use crate::stream::{self, Reader, StreamError, Writer};
 
-/// Longest wait for the first message of a connection; an open connection that says
-/// nothing costs a descriptor.
-const START_LIMIT: Span = Span::from_millis(10_000);
+/// Longest wait for the first message of a connection; an open connection that sends
+/// nothing occupies a file descriptor.
+const START_TIMEOUT: Span = Span::from_millis(10_000);
 
-/// Longest wait of a new session for the first configuration. Load: all proxies start
-/// again at once. Harm without it: sessions that come in the first moments are refused
-/// and use up their tries; callers wait 2 s for the answer.
-const ROUTES_LIMIT: Span = Span::from_millis(1_500);
+/// Longest wait of a new session for the first configuration. When all proxies restart at
+/// once, sessions would otherwise be rejected until the configuration is known, and would
+/// use up their retries. It is below the 2 s for which callers wait for the reply.
+const CONFIG_TIMEOUT: Span = Span::from_millis(1_500);
 
 /// Why a statement has no result, for the caller and for the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Failure {
-    /// No connection could be lent; it did not run.
+    /// No connection could be checked out; the statement did not run.
     #[error(transparent)]
-    Refused(#[from] Rejection),
-    /// The instance said why.
+    Rejected(#[from] Rejection),
+    /// The instance returned an error.
     #[error("the instance answered {0:?}")]
     Instance(Code),
-    /// The answer was lost; nothing of it is kept.
+    /// The response was lost; the statement had no lasting effect.
     #[error("no answer came, and nothing of it is kept")]
-    LostUnkept,
-    /// The answer was lost.
+    LostNoEffect,
+    /// The response was lost; the statement may have taken effect.
     #[error("no answer came, and it may have taken effect")]
     LostInDoubt,
-    /// The instance answered, but no replica is known to hold the write.
+    /// The instance acknowledged the write, but no replica is known to hold it.
     #[error("no replica is known to hold it, and it may be lost")]
-    Unproven,
-    /// The transaction was ended because it was idle, or the proxy stops.
+    Unacknowledged,
+    /// The transaction was aborted because it was idle for too long, or the proxy stops.
     #[error("the transaction was ended: {0}")]
-    Ended(&'static str),
-    /// The session's name means no prepared statement.
+    Aborted(&'static str),
+    /// The session has no prepared statement of this name.
     #[error("no such prepared statement")]
     NotPrepared,
-    /// It cannot be read, or not in this state of the session.
+    /// The statement cannot be parsed, or is invalid in this state of the session.
     #[error("it makes no sense here")]
     Malformed,
     /// No route has the database.
@@ -70,10 +70,10 @@
 impl Failure {
     const fn code(self) -> Code {
         match self {
-            Self::Refused(_) => Code::Busy,
+            Self::Rejected(_) => Code::Busy,
             Self::Instance(code) => code,
-            Self::LostUnkept | Self::Ended(_) => Code::Aborted,
-            Self::LostInDoubt | Self::Unproven => Code::InDoubt,
+            Self::LostNoEffect | Self::Aborted(_) => Code::Aborted,
+            Self::LostInDoubt | Self::Unacknowledged => Code::InDoubt,
             Self::NotPrepared => Code::NotPrepared,
             Self::Malformed => Code::Malformed,
             Self::NoDatabase => Code::NoDatabase,
@@ -83,8 +83,8 @@
 
 /// A result for the caller.
 #[derive(Debug, Default)]
-struct Done {
-    /// Rows and result as the instance sent them; empty if the proxy answers itself.
+struct Outcome {
+    /// Rows and result as the instance sent them; empty if the proxy replies by itself.
     lines: Vec<u8>,
     /// End of the instance's log.
     point: Option<Point>,
@@ -92,7 +92,7 @@
     instance: Option<InstanceId>,
 }
 
-/// A statement with what belongs to it.
+/// A statement with its id and the time when it arrived.
 #[derive(Clone)]
 struct Job {
     id: StatementId,
@@ -102,25 +102,26 @@
 
 /// A session.
 ///
-/// Invariant: `tx` holds a connection exactly while a transaction is open on it.
+/// Invariant: `tx` holds a connection if and only if a transaction is open on that connection.
 struct Session {
     cx: Rc<Cx>,
     database: Database,
-    /// Shared with a read that goes on after another one overtook it.
+    /// Shared with reads that still run after a hedged attempt has returned first.
     values: Rc<Values>,
     prepared: IndexMap<Arc<str>, Shape>,
     /// The session's newest own write.
-    own: Option<Point>,
+    own_write: Option<Point>,
     tx: tx::Tx,
 }
 
-/// Serves one caller until it leaves.
+/// Serves one caller until it disconnects.
 pub async fn serve(cx: Rc<Cx>, stream: TcpStream) {
     let Ok((mut reader, mut writer)) = stream::split(stream) else {
         return;
     };
     let started = start(&cx, &mut reader, &mut writer);
-    let Ok(Some(database)) = compio::time::timeout(START_LIMIT.as_duration(), started).await else {
+    let Ok(Some(database)) = compio::time::timeout(START_TIMEOUT.as_duration(), started).await
+    else {
         return;
     };
     let mut session = Session {
@@ -128,18 +129,18 @@
         database,
         values: Rc::default(),
         prepared: IndexMap::new(),
-        own: None,
+        own_write: None,
         tx: tx::Tx::None,
     };
     let ended = session.run(&mut reader, &mut writer).await;
-    session.tx.give_up("the session ended").await;
+    session.tx.abandon("the session ended").await;
     if let Err(e) = ended {
         tracing::debug!(database = %session.database, cause = %e, "a session ended");
     }
     let _ = writer.finish().await;
 }
 
-/// Answers the first message; `None` when the session does not begin.
+/// Replies to the first message; `None` if the session does not start.
 async fn start(cx: &Cx, reader: &mut Reader, writer: &mut Writer) -> Option<Database> {
     let line = reader.line().await.ok()?;
     let mut buf = Vec::new();
@@ -157,13 +158,13 @@
     match &known {
         Some(_) => line::put_ready(&mut buf, TxState::Idle, None),
         None if routes.version == 0 => {
-            tracing::warn!("a session was refused: no configuration is known yet");
+            tracing::warn!("a session was rejected: no configuration is known yet");
             line::put_error(&mut buf, Code::Busy, "retry after 500 ms");
         }
         None => {
             tracing::info!(
                 version = routes.version,
-                "a session was refused: no such database"
+                "a session was rejected: no such database"
             );
             line::put_error(&mut buf, Code::NoDatabase, "no route has this database");
         }
@@ -172,15 +173,15 @@
     known
 }
 
-/// Waits a while for the first configuration.
+/// Waits up to `CONFIG_TIMEOUT` for the first configuration.
 async fn wait_for_routes(cx: &Cx) {
-    let end = clock::now() + ROUTES_LIMIT;
+    let end = clock::now() + CONFIG_TIMEOUT;
     while cx.routes().version == 0 && clock::now() < end {
         clock::sleep_until(clock::now() + Span::from_millis(25)).await;
     }
 }
 
-/// What a session wakes up for.
+/// What a session waits for.
 enum Event {
     Line(Result<Request, line::LineError>),
     Idle,
@@ -195,8 +196,8 @@
                 Event::Line(Ok(Request::Query { id, text })) => {
                     let arrived = clock::now();
                     let job = Job { id, text, arrived };
-                    let answer = self.answer(&job).await;
-                    writer.send(answer).await?;
+                    let reply = self.respond(&job).await;
+                    writer.send(reply).await?;
                     served = true;
                 }
                 Event::Line(Ok(Request::Bye)) => return Ok(()),
@@ -206,25 +207,25 @@
                     line::put_ready(&mut buf, self.tx.state(), None);
                     writer.send(buf).await?;
                 }
-                Event::Idle => self.tx.fail("it was idle for too long").await,
+                Event::Idle => self.tx.abort("it was idle for too long").await,
                 Event::Phase => {
                     if self.cx.stop.phase() == Phase::Ending {
-                        self.tx.fail("the proxy stops").await;
+                        self.tx.abort("the proxy stops").await;
                     }
                 }
             }
-            if self.tx.is_none() && !reader.has_line() && self.may_end(served) {
+            if self.tx.is_none() && !reader.has_line() && self.may_close(served) {
                 return Ok(());
             }
         }
     }
 
-    /// Whether the session may end between two statements.
+    /// Whether the session may close between two statements.
     ///
-    /// A statement that the caller sends while its session is being closed is lost. Just
-    /// after an answer the caller has none on the way, so that is when a session ends;
-    /// one that stays idle ends only when the time runs out.
-    fn may_end(&self, served: bool) -> bool {
+    /// A statement that the caller sends while its session is being closed is lost. Right
+    /// after a reply the caller has no statement in flight, so a session closes then; an
+    /// idle one closes only when the time for the shutdown is over.
+    fn may_close(&self, served: bool) -> bool {
         match self.cx.stop.phase() {
             Phase::Serving => false,
             Phase::Closing => served,
@@ -244,7 +245,7 @@
         }
     }
 
-    /// Ends when the open transaction has been idle for too long.
+    /// Completes when the open transaction has been idle for too long.
     async fn idle_limit(&self) {
         if self.tx.holds_connection() {
             let limit = self.cx.routes().idle_transaction;
@@ -254,23 +255,23 @@
         }
     }
 
-    /// Carries a statement out and writes its whole answer.
-    async fn answer(&mut self, job: &Job) -> Vec<u8> {
+    /// Runs a statement and returns its whole reply.
+    async fn respond(&mut self, job: &Job) -> Vec<u8> {
         let result = match line::statement(&job.text) {
-            Ok(statement) => self.carry_out(job, statement).await,
+            Ok(statement) => self.execute(job, statement).await,
             Err(_) => Err(Failure::Malformed),
         };
         let took = clock::now().since(job.arrived);
         let mut buf = Vec::new();
         let mut point = None;
         match &result {
-            Ok(done) => {
-                point = done.point;
-                self.note_served(job, done, took);
-                if done.lines.is_empty() {
+            Ok(outcome) => {
+                point = outcome.point;
+                self.log_served(job, outcome, took);
+                if outcome.lines.is_empty() {
                     line::put_done(&mut buf);
                 } else {
-                    buf.extend_from_slice(&done.lines);
+                    buf.extend_from_slice(&outcome.lines);
                 }
             }
             Err(failure) => {
@@ -282,7 +283,7 @@
                     cause = %failure,
                     took_ms = took.as_millis(),
                     version = self.cx.routes().version,
-                    "a statement has no result"
+                    "a statement failed"
                 );
             }
         }
@@ -293,9 +294,9 @@
         buf
     }
 
-    /// Logs what it takes to find a served statement again.
-    fn note_served(&self, job: &Job, done: &Done, took: Span) {
-        let Some(instance) = &done.instance else {
+    /// Logs what is needed to trace a served statement, within the limit for such lines.
+    fn log_served(&self, job: &Job, outcome: &Outcome, took: Span) {
+        let Some(instance) = &outcome.instance else {
             return;
         };
         match self.cx.served_lines.take(clock::now()) {
@@ -303,7 +304,7 @@
                 id = %job.id,
                 database = %self.database,
                 %instance,
-                point = done.point.map(tracing::field::display),
+                point = outcome.point.map(tracing::field::display),
                 took_ms = took.as_millis(),
                 left_out,
                 "served"
@@ -312,7 +313,7 @@
         }
     }
 
-    async fn carry_out(&mut self, job: &Job, statement: Statement) -> Result<Done, Failure> {
+    async fn execute(&mut self, job: &Job, statement: Statement) -> Result<Outcome, Failure> {
         if self.tx.has_failed() && !matches!(statement, Statement::Commit | Statement::Rollback) {
             return Err(Failure::Malformed);
         }
@@ -321,33 +322,33 @@
             Statement::Commit => self.commit(job).await,
             Statement::Rollback => self.roll_back().await,
             Statement::Run(access) => {
-                let what = Payload::Text(job.text.clone());
-                self.run_one(job, access, what).await
+                let payload = Payload::Text(job.text.clone());
+                self.run_statement(job, access, payload).await
             }
             Statement::Execute { name, args } => {
                 let Some(shape) = self.prepared.get(&name).cloned() else {
                     return self.not_prepared();
                 };
                 let access = shape.access;
-                self.run_one(job, access, Payload::Prepared(shape, args))
+                self.run_statement(job, access, Payload::Prepared(shape, args))
                     .await
             }
             Statement::Set { name, value } => self.set(name, value),
             Statement::Prepare { name, shape } => self.prepare(name, shape),
-            Statement::Deallocate { name } => self.forget(&name),
+            Statement::Deallocate { name } => self.deallocate(&name),
         }
     }
 
-    /// Until when the success of a write waits for the proof that a replica holds it; `None`
-    /// where writes need none.
-    fn prove_until(&self, route: &Route, give_up: Time) -> Option<Time> {
+    /// Until when a successful write waits for a replica's acknowledgement; `None` if writes
+    /// to this group need none.
+    fn ack_deadline(&self, route: &Route, deadline: Time) -> Option<Time> {
         let routes = self.cx.routes();
         let limits = routes.groups.get(&route.group);
         let needs = limits.is_none_or(|limits| limits.sync_replicas > 0);
-        needs.then_some(give_up)
+        needs.then_some(deadline)
     }
 
-    /// The route in force, for what begins now.
+    /// The route in force, for a statement or transaction that starts now.
     fn route(&self) -> Result<Route, Failure> {
         let routes = self.cx.routes();
         let route = routes.routes.get(&self.database);
--- a/crates/front/src/session/attempt.rs
+++ b/crates/front/src/session/attempt.rs
@@ -1,4 +1,4 @@
-//! Single statements: attempts, and what each outcome allows to promise.
+//! Single statements: their attempts, and what the caller may be told after each outcome.
 
 use std::time::Duration;
 
@@ -10,69 +10,70 @@
 use policy::pool::{ConnRequest, Kind};
 use rand::Rng as _;
 
-use super::{Done, Failure, Job, Session};
+use super::{Failure, Job, Outcome, Session};
 use crate::clock;
 use crate::conn::{self, ConnError, Payload, Response, Setup, SetupOutcome, Values};
 use crate::group::{Lent, Note};
 
-/// Attempts of one statement. An attempt is repeated only if the one before certainly did
-/// not run, or only read; each goes to another instance where there is one.
-const TRIES: u32 = 5;
+/// Attempts per statement. A statement is retried only if the attempt before certainly did
+/// not run, or only read; each attempt uses another instance if there is one.
+const MAX_ATTEMPTS: u32 = 5;
 
-/// First and longest pause before a statement is tried again that met full instances; it
-/// doubles, and half of it is random. Load: everyone comes back at once after an outage.
-/// Harm without it: the tries of all are used up within some ten milliseconds, against
-/// queues that are a few hundred milliseconds long.
-const BUSY_PAUSES: (Span, Span) = (Span::from_millis(16), Span::from_millis(128));
+/// First and longest delay before a statement is retried after a busy instance; the delay
+/// doubles, and half of it is random. After an outage all callers return at once; without
+/// the backoff their attempts would be used up within some ten milliseconds, while the
+/// queues are a few hundred milliseconds long.
+const BUSY_BACKOFF: (Span, Span) = (Span::from_millis(16), Span::from_millis(128));
 
-/// Time after which a write without an answer is reported to the group's watch. Writes
-/// take some tens of milliseconds, and a replica a region away acknowledges within 50 ms.
-const STALL: Duration = Duration::from_millis(400);
+/// Time without a response after which a write is reported to the group's primary monitor.
+/// Writes take some tens of milliseconds, and a replica in another region acknowledges
+/// within 50 ms.
+const STALL_AFTER: Duration = Duration::from_millis(400);
 
-/// Least time for the proof that a replica holds a write: a question to a replica, and to one
-/// a region away if that one does not hold it, through a carrier.
-const PROOF_TIME: Span = Span::from_millis(300);
+/// Shortest timeout for the acknowledgement of a write: enough for a query to one replica
+/// and, if that one does not hold the write, to one in another region, through a pooler.
+const MIN_ACK_WAIT: Span = Span::from_millis(300);
 
-/// A statement whose answer was lost.
+/// A statement whose response was lost.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Lost;
 
 impl Lost {
-    /// Tells the group and the log.
+    /// Reports the loss to the group and logs it.
     pub(super) fn new(lent: &Lent, job: &Job, e: &ConnError) -> Self {
         lent.note(Note::Silent);
-        tracing::warn!(id = %job.id, instance = %lent.instance, cause = %e, "an answer was lost");
+        tracing::warn!(id = %job.id, instance = %lent.instance, cause = %e, "a response was lost");
         Self
     }
 
-    /// The statement kept nothing: it only read, or its transaction cannot be committed
-    /// any more, since the instance drops it with the connection.
-    pub(super) const fn unkept(self) -> Failure {
-        Failure::LostUnkept
+    /// The failure of a statement without a lasting effect: it only read, or its transaction
+    /// can no longer be committed, since the instance rolls it back with the connection.
+    pub(super) const fn no_effect(self) -> Failure {
+        Failure::LostNoEffect
     }
 
-    /// The statement may have been kept.
+    /// The failure of a statement that may have taken effect.
     pub(super) const fn in_doubt(self) -> Failure {
         Failure::LostInDoubt
     }
 
-    /// The transaction's end: only one that wrote can have kept anything.
+    /// The failure of a commit: only a transaction that wrote may have taken effect.
     pub(super) const fn of_commit(self, wrote: bool) -> Failure {
         if wrote {
             self.in_doubt()
         } else {
-            self.unkept()
+            self.no_effect()
         }
     }
 }
 
-/// Sends one statement and waits for its answer; `stalls` says that a late answer is a
-/// sign of a primary that cannot reach its replicas.
+/// Sends one statement and waits for its response. With `stalls`, a late response is reported
+/// as a sign of a primary that cannot reach its replicas.
 pub(super) async fn send(
     lent: &mut Lent,
     job: &Job,
     after: Option<Point>,
-    what: &Payload,
+    payload: &Payload,
     stalls: bool,
     limit: Span,
 ) -> Result<Response, Lost> {
@@ -82,18 +83,18 @@
             return Err(Lost);
         };
         let mut buf = Vec::new();
-        if !conn::put_statement(conn, &mut buf, &job.id, after, what) {
+        if !conn::put_statement(conn, &mut buf, &job.id, after, payload) {
             return Err(Lost);
         }
         let run = conn.run(buf, limit.as_duration()).fuse();
         futures_util::pin_mut!(run);
         if stalls {
-            let slow = compio::time::sleep(STALL).fuse();
+            let slow = compio::time::sleep(STALL_AFTER).fuse();
             futures_util::pin_mut!(slow);
             futures_util::select_biased! {
                 result = run => result,
                 () = slow => {
-                    tracing::info!(id = %job.id, %instance, "a write has no answer yet");
+                    tracing::info!(id = %job.id, %instance, "a write has no response yet");
                     note(Note::WriteStalls);
                     run.await
                 }
@@ -105,16 +106,16 @@
     result.map_err(|e| Lost::new(lent, job, &e))
 }
 
-/// Notes that an answer shows the instance leading.
-pub(super) fn record_proof(lent: &mut Lent, since: Time, answer: &Response) {
+/// Records that a response shows the instance to be the primary.
+pub(super) fn record_proof(lent: &mut Lent, since: Time, response: &Response) {
     if let Some(conn) = lent.conn() {
-        conn.record_proof(since, answer);
+        conn.record_proof(since, response);
     }
 }
 
-/// Gives a connection back and, if a time for it is given, waits for the proof that a replica
-/// holds the write that was answered on it.
-pub(super) async fn prove(
+/// Releases a connection and, if `until` is set, waits for a replica to acknowledge the write
+/// that ended at `point`.
+pub(super) async fn release_acknowledged(
     lent: Lent,
     point: Option<Point>,
     until: Option<Time>,
@@ -124,19 +125,20 @@
         return Ok(());
     };
     let Some(point) = point else {
-        tracing::warn!(instance = %lent.instance, "a write was answered without a position");
-        return Err(Failure::Unproven);
+        tracing::warn!(instance = %lent.instance, "the response to a write has no position");
+        return Err(Failure::Unacknowledged);
     };
-    // An answer that comes at the end of the statement's time is delivered late.
-    let until = until.max(clock::now() + PROOF_TIME);
+    // A response just before the statement's deadline leaves too little time, so the reply
+    // may come after the deadline.
+    let until = until.max(clock::now() + MIN_ACK_WAIT);
     match lent.prove(point, until).await {
         true => Ok(()),
-        false => Err(Failure::Unproven),
+        false => Err(Failure::Unacknowledged),
     }
 }
 
-/// Tells the group what a refusal says about the instance.
-pub(super) fn learn(lent: &Lent, code: Code) {
+/// Reports to the group what an error code shows about the instance.
+pub(super) fn report_rejection(lent: &Lent, code: Code) {
     match code {
         Code::ReadOnly => lent.note(Note::ReadOnly),
         Code::Behind => {
@@ -149,33 +151,34 @@
     }
 }
 
-/// Gives a connection back on which a transaction was refused: it is as it was before.
-/// After any other refusal nobody knows what the instance holds for it, and it is closed.
-pub(super) fn after_refusal(mut lent: Lent, code: Code) {
-    let refused_begin = matches!(code, Code::Behind | Code::ReadOnly | Code::Busy);
+/// Releases a connection on which a transaction was rejected, which leaves it unchanged.
+/// After any other rejection the state that the instance holds for it is unknown, so it is
+/// closed.
+pub(super) fn release_after_rejection(mut lent: Lent, code: Code) {
+    let begin_rejected = matches!(code, Code::Behind | Code::ReadOnly | Code::Busy);
     let idle = lent.conn().is_some_and(|c| c.is_idle());
-    if refused_begin && idle {
+    if begin_rejected && idle {
         lent.give_back();
     }
 }
 
-/// How one attempt ended without a result.
+/// Why an attempt has no result.
 #[derive(Clone, Copy)]
-pub(super) enum Miss {
-    /// It did not run; another instance may be tried.
+pub(super) enum AttemptFailure {
+    /// The statement did not run; it may be retried on another instance.
     NotRun(Code),
-    /// It only read, and its answer was lost.
-    Unanswered(Lost),
-    /// That is the answer.
+    /// The response was lost; only a read may be retried.
+    NoResponse(Lost),
+    /// The failure is reported to the caller; no retry.
     Final(Failure),
 }
 
-impl Miss {
-    /// The failure of a read, which keeps nothing in any case.
-    pub(super) fn of_read(self) -> Failure {
+impl AttemptFailure {
+    /// The failure of a read, which never has a lasting effect.
+    pub(super) fn into_read_failure(self) -> Failure {
         match self {
             Self::NotRun(code) => Failure::Instance(code),
-            Self::Unanswered(lost) => lost.unkept(),
+            Self::NoResponse(lost) => lost.no_effect(),
             Self::Final(failure) => failure,
         }
     }
@@ -183,52 +186,57 @@
 
 impl Session {
     /// Runs a statement, inside the open transaction if there is one.
-    pub(super) async fn run_one(
+    pub(super) async fn run_statement(
         &mut self,
         job: &Job,
         access: Access,
-        what: Payload,
-    ) -> Result<Done, Failure> {
+        payload: Payload,
+    ) -> Result<Outcome, Failure> {
         if !self.tx.is_none() {
-            return self.run_in_tx(job, access, &what).await;
+            return self.run_in_tx(job, access, &payload).await;
         }
         let route = self.route()?;
         match access {
-            Access::Read => self.read(job, what, &route).await,
-            Access::Write => self.write(job, &what, &route).await,
+            Access::Read => self.read(job, payload, &route).await,
+            Access::Write => self.write(job, &payload, &route).await,
         }
     }
 
-    async fn write(&mut self, job: &Job, what: &Payload, route: &Route) -> Result<Done, Failure> {
-        let give_up = job.arrived + route.time_limit;
+    async fn write(
+        &mut self,
+        job: &Job,
+        payload: &Payload,
+        route: &Route,
+    ) -> Result<Outcome, Failure> {
+        let deadline = job.arrived + route.time_limit;
         let mut last = Failure::Instance(Code::Busy);
-        let mut tries = Tries::default();
-        while tries.left() {
-            let ask = ask(job, Kind::Write, route, self.own);
-            let lent = self.cx.checkout(&route.group, ask).await?;
+        let mut attempts = Attempts::default();
+        while attempts.any_left() {
+            let request = request(job, Kind::Write, route, self.own_write);
+            let lent = self.cx.checkout(&route.group, request).await?;
             let instance = lent.instance.clone();
-            let sending = Sending {
+            let attempt = Attempt {
                 job,
-                what,
+                payload,
                 values: &self.values,
                 access: Access::Write,
                 limit: route.time_limit,
-                prove_until: self.prove_until(route, give_up),
+                ack_deadline: self.ack_deadline(route, deadline),
             };
-            match sending.run(lent).await {
-                Ok(done) => {
-                    self.own = self.own.max(done.point);
-                    return Ok(done);
+            match attempt.run(lent).await {
+                Ok(outcome) => {
+                    self.own_write = self.own_write.max(outcome.point);
+                    return Ok(outcome);
                 }
-                Err(Miss::NotRun(code)) => {
-                    tracing::info!(id = %job.id, %instance, ?code, failed = tries.failed, busy = tries.busy, "a write did not run");
+                Err(AttemptFailure::NotRun(code)) => {
+                    tracing::info!(id = %job.id, %instance, ?code, failed = attempts.failed, busy = attempts.busy, "a write did not run");
                     last = Failure::Instance(code);
-                    tries.missed(code).await;
+                    attempts.record_not_run(code).await;
                 }
-                Err(Miss::Unanswered(lost)) => return Err(lost.in_doubt()),
-                Err(Miss::Final(failure)) => return Err(failure),
+                Err(AttemptFailure::NoResponse(lost)) => return Err(lost.in_doubt()),
+                Err(AttemptFailure::Final(failure)) => return Err(failure),
             }
-            if clock::now() >= give_up {
+            if clock::now() >= deadline {
                 break;
             }
         }
@@ -236,24 +244,24 @@
     }
 }
 
-/// Counts the tries of one statement. A refusal for want of capacity is none: the
-/// statement waits its turn, until its time is up. Nor is a log that is too short: another
-/// instance is asked at once.
+/// Counts the attempts of one statement against `MAX_ATTEMPTS`. A busy instance does not count:
+/// the statement waits and retries until its deadline. Nor does an instance whose log lacks
+/// the required point: the statement is retried on another one at once.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Tries {
-    /// Tries that did not run, or whose answer was lost.
+pub(super) struct Attempts {
+    /// Attempts that did not run, or whose response was lost.
     pub(super) failed: u32,
-    /// Refusals for want of capacity.
+    /// Rejections by busy instances.
     pub(super) busy: u32,
 }
 
-impl Tries {
-    pub(super) const fn left(self) -> bool {
-        self.failed < TRIES
+impl Attempts {
+    pub(super) const fn any_left(self) -> bool {
+        self.failed < MAX_ATTEMPTS
     }
 
-    /// Counts a try that did not run, and waits before the next one.
-    pub(super) async fn missed(&mut self, code: Code) {
+    /// Counts an attempt that did not run; after a busy instance, waits before the next one.
+    pub(super) async fn record_not_run(&mut self, code: Code) {
         match code {
             Code::Busy => {}
             Code::Behind => return,
@@ -262,24 +270,29 @@
                 return;
             }
         }
-        let pause = BUSY_PAUSES.0.times(1 << self.busy.min(8));
-        let pause = pause.min(BUSY_PAUSES.1).as_micros();
+        let pause = BUSY_BACKOFF.0.times(1 << self.busy.min(8));
+        let pause = pause.min(BUSY_BACKOFF.1).as_micros();
         self.busy += 1;
         let pause = rand::rng().random_range(pause / 2..=pause);
         compio::time::sleep(Duration::from_micros(pause)).await;
     }
 
-    /// Counts a try whose answer was lost.
+    /// Counts an attempt whose response was lost.
     pub(super) const fn lost(&mut self) {
         self.failed += 1;
     }
 }
 
-/// A request for a connection on behalf of a statement.
-pub(super) fn ask(job: &Job, kind: Kind, route: &Route, own: Option<Point>) -> ConnRequest {
+/// The request for a connection for a statement.
+pub(super) fn request(
+    job: &Job,
+    kind: Kind,
+    route: &Route,
+    own_write: Option<Point>,
+) -> ConnRequest {
     ConnRequest {
         kind,
-        own_write: own,
+        own_write,
         arrived: job.arrived,
         deadline: job.arrived + route.time_limit,
         priority: route.priority,
@@ -289,71 +302,76 @@
 }
 
 /// One attempt of a statement outside a transaction.
-pub(super) struct Sending<'a> {
+pub(super) struct Attempt<'a> {
     pub(super) job: &'a Job,
-    pub(super) what: &'a Payload,
+    pub(super) payload: &'a Payload,
     pub(super) values: &'a Values,
     pub(super) access: Access,
     pub(super) limit: Span,
-    /// Until when its success waits for the proof that a replica holds it, if it needs one.
-    pub(super) prove_until: Option<Time>,
+    /// Until when a successful write waits for a replica's acknowledgement, if it needs one.
+    pub(super) ack_deadline: Option<Time>,
 }
 
-impl Sending<'_> {
-    /// Runs the statement on a connection and gives the connection back.
-    pub(super) async fn run(&self, mut lent: Lent) -> Result<Done, Miss> {
+impl Attempt<'_> {
+    /// Runs the statement on a connection and releases the connection.
+    pub(super) async fn run(&self, mut lent: Lent) -> Result<Outcome, AttemptFailure> {
         let setup = Setup {
             values: Some(self.values),
-            shape: self.what.shape(),
+            shape: self.payload.shape(),
             begin: None,
             verify_primary: lent.prove,
         };
         let after = lent.after;
         let Some(conn) = lent.conn() else {
-            return Err(Miss::NotRun(Code::Busy));
+            return Err(AttemptFailure::NotRun(Code::Busy));
         };
         match conn.set_up(setup, self.limit.as_duration()).await {
             Ok(SetupOutcome::Ready) => {}
-            Ok(SetupOutcome::Refused(code)) => {
-                learn(&lent, code);
-                after_refusal(lent, code);
-                return Err(Miss::NotRun(code));
+            Ok(SetupOutcome::Rejected(code)) => {
+                report_rejection(&lent, code);
+                release_after_rejection(lent, code);
+                return Err(AttemptFailure::NotRun(code));
             }
             Err(e) => {
                 Lost::new(&lent, self.job, &e);
-                return Err(Miss::NotRun(Code::Aborted));
+                return Err(AttemptFailure::NotRun(Code::Aborted));
             }
         }
         let since = clock::now();
         let writes = self.access == Access::Write;
-        let answer = send(&mut lent, self.job, after, self.what, writes, self.limit).await;
-        let answer = answer.map_err(Miss::Unanswered)?;
-        self.settle(lent, since, answer).await
+        let response = send(&mut lent, self.job, after, self.payload, writes, self.limit).await;
+        let response = response.map_err(AttemptFailure::NoResponse)?;
+        self.settle(lent, since, response).await
     }
 
-    async fn settle(&self, mut lent: Lent, since: Time, answer: Response) -> Result<Done, Miss> {
-        let Some(code) = answer.code else {
+    async fn settle(
+        &self,
+        mut lent: Lent,
+        since: Time,
+        response: Response,
+    ) -> Result<Outcome, AttemptFailure> {
+        let Some(code) = response.code else {
             if self.access == Access::Write {
-                record_proof(&mut lent, since, &answer);
+                record_proof(&mut lent, since, &response);
                 lent.note(Note::Wrote);
             }
-            let done = Done {
-                lines: answer.lines,
-                point: answer.point,
+            let outcome = Outcome {
+                lines: response.lines,
+                point: response.point,
                 instance: Some(lent.instance.clone()),
             };
-            prove(lent, done.point, self.prove_until)
+            release_acknowledged(lent, outcome.point, self.ack_deadline)
                 .await
-                .map_err(Miss::Final)?;
-            return Ok(done);
+                .map_err(AttemptFailure::Final)?;
+            return Ok(outcome);
         };
-        learn(&lent, code);
+        report_rejection(&lent, code);
         if code == Code::NotPrepared
             && let Some(conn) = lent.conn()
         {
-            conn.forget_prepared();
+            conn.clear_prepared();
         }
-        if answer.state == TxState::Idle {
+        if response.state == TxState::Idle {
             lent.give_back();
         }
         let not_run = matches!(
@@ -361,9 +379,9 @@
             Code::Busy | Code::NotPrepared | Code::Behind | Code::ReadOnly
         );
         Err(if not_run {
-            Miss::NotRun(code)
+            AttemptFailure::NotRun(code)
         } else {
-            Miss::Final(Failure::Instance(code))
+            AttemptFailure::Final(Failure::Instance(code))
         })
     }
 }
--- a/crates/front/src/session/read.rs
+++ b/crates/front/src/session/read.rs
@@ -1,5 +1,5 @@
-//! Reads outside a transaction: they may be tried again on another instance, also while
-//! the first attempt has no answer yet.
+//! Reads outside a transaction: they may be retried on another instance, also while the
+//! first attempt has no response yet (a hedged read).
 
 use std::pin::Pin;
 use std::rc::Rc;
@@ -12,79 +12,80 @@
 use model::unit::Span;
 use policy::pool::Kind;
 
-use super::attempt::{self, Miss, Sending, Tries};
-use super::{Done, Failure, Job, Session};
+use super::attempt::{self, Attempt, AttemptFailure, Attempts};
+use super::{Failure, Job, Outcome, Session};
 use crate::clock;
 use crate::conn::{Payload, Values};
 use crate::group::Lent;
 
-/// Time after which a read without an answer is tried on another instance as well. Load:
-/// an instance that went dark, or loses answers. Harm without it: each such read waits for
-/// its whole time limit of 800 ms and more, and is then refused. Reads take some tens of
-/// milliseconds, with a full queue before them about 200 ms.
-const OVERTAKE: Span = Span::from_millis(300);
+/// Time without a response after which a read is also sent to another instance. If an
+/// instance is unreachable or loses responses, each of its reads would otherwise wait for the
+/// whole time limit of 800 ms or more and then fail. Reads take some tens of milliseconds, and
+/// about 200 ms behind a full queue.
+const HEDGE_DELAY: Span = Span::from_millis(300);
 
-/// An attempt that owns all it needs, so that it can go on when nobody waits for it: its
-/// connection then comes back instead of being broken off.
-type Running = Pin<Box<dyn Future<Output = Result<Done, Miss>>>>;
+/// An attempt that owns its data, so that it can complete in the background: its connection is
+/// then released instead of closed.
+type RunningAttempt = Pin<Box<dyn Future<Output = Result<Outcome, AttemptFailure>>>>;
 
 impl Session {
     pub(super) async fn read(
         &self,
         job: &Job,
-        what: Payload,
+        payload: Payload,
         route: &Route,
-    ) -> Result<Done, Failure> {
-        let give_up = job.arrived + route.time_limit;
+    ) -> Result<Outcome, Failure> {
+        let deadline = job.arrived + route.time_limit;
         let mut avoid: Option<InstanceId> = None;
-        let mut late: Option<Running> = None;
+        let mut slow: Option<RunningAttempt> = None;
         let mut last = Failure::Instance(Code::Busy);
-        let mut tries = Tries::default();
-        while tries.left() {
-            let mut ask = attempt::ask(job, Kind::Read(route.guarantee), route, self.own);
-            ask.avoid = avoid.take();
-            let lent = match self.cx.checkout(&route.group, ask).await {
+        let mut attempts = Attempts::default();
+        while attempts.any_left() {
+            let mut request =
+                attempt::request(job, Kind::Read(route.guarantee), route, self.own_write);
+            request.avoid = avoid.take();
+            let lent = match self.cx.checkout(&route.group, request).await {
                 Ok(lent) => lent,
-                Err(refused) => {
-                    return match late {
-                        Some(late) => late.await.map_err(Miss::of_read),
-                        None => Err(refused.into()),
+                Err(rejection) => {
+                    return match slow {
+                        Some(slow) => slow.await.map_err(AttemptFailure::into_read_failure),
+                        None => Err(rejection.into()),
                     };
                 }
             };
             avoid = Some(lent.instance.clone());
             let new = run(
                 job.clone(),
-                what.clone(),
+                payload.clone(),
                 self.values.clone(),
                 route.time_limit,
                 lent,
             );
-            let end = match late.take() {
-                Some(first) => either(first, new).await,
-                None => match soon(new).await {
-                    Ok(end) => end,
+            let result = match slow.take() {
+                Some(first) => first_success(first, new).await,
+                None => match within_hedge_delay(new).await {
+                    Ok(result) => result,
                     Err(running) => {
-                        tries.lost();
-                        tracing::info!(id = %job.id, instance = avoid.as_ref().map(tracing::field::display), "a read is tried on another instance as well");
-                        late = Some(running);
+                        attempts.lost();
+                        tracing::info!(id = %job.id, instance = avoid.as_ref().map(tracing::field::display), "a read is sent to another instance as well");
+                        slow = Some(running);
                         continue;
                     }
                 },
             };
-            match end {
-                Ok(done) => return Ok(done),
-                Err(Miss::Final(failure)) => return Err(failure),
-                Err(miss) => {
-                    last = miss.of_read();
-                    tracing::info!(id = %job.id, instance = avoid.as_ref().map(tracing::field::display), failed = tries.failed, busy = tries.busy, cause = %last, "a read has no result yet");
-                    match miss {
-                        Miss::NotRun(code) => tries.missed(code).await,
-                        Miss::Unanswered(_) | Miss::Final(_) => tries.lost(),
+            match result {
+                Ok(outcome) => return Ok(outcome),
+                Err(AttemptFailure::Final(failure)) => return Err(failure),
+                Err(failure) => {
+                    last = failure.into_read_failure();
+                    tracing::info!(id = %job.id, instance = avoid.as_ref().map(tracing::field::display), failed = attempts.failed, busy = attempts.busy, cause = %last, "an attempt of a read failed");
+                    match failure {
+                        AttemptFailure::NotRun(code) => attempts.record_not_run(code).await,
+                        AttemptFailure::NoResponse(_) | AttemptFailure::Final(_) => attempts.lost(),
                     }
                 }
             }
-            if clock::now() >= give_up {
+            if clock::now() >= deadline {
                 break;
             }
         }
@@ -92,38 +93,44 @@
     }
 }
 
-fn run(job: Job, what: Payload, values: Rc<Values>, limit: Span, lent: Lent) -> Running {
+fn run(job: Job, payload: Payload, values: Rc<Values>, limit: Span, lent: Lent) -> RunningAttempt {
     Box::pin(async move {
-        let sending = Sending {
+        let attempt = Attempt {
             job: &job,
-            what: &what,
+            payload: &payload,
             values: &values,
             access: Access::Read,
             limit,
-            prove_until: None,
+            ack_deadline: None,
         };
-        sending.run(lent).await
+        attempt.run(lent).await
     })
 }
 
-/// Waits for an attempt for a while; gives it back if it has not ended by then.
-async fn soon(running: Running) -> Result<Result<Done, Miss>, Running> {
-    let timer = compio::time::sleep(OVERTAKE.as_duration()).boxed_local();
+/// Waits up to `HEDGE_DELAY` for an attempt; returns the attempt if it still runs.
+async fn within_hedge_delay(
+    running: RunningAttempt,
+) -> Result<Result<Outcome, AttemptFailure>, RunningAttempt> {
+    let timer = compio::time::sleep(HEDGE_DELAY.as_duration()).boxed_local();
     match future::select(running, timer).await {
-        Either::Left((end, _)) => Ok(end),
+        Either::Left((result, _)) => Ok(result),
         Either::Right(((), running)) => Err(running),
     }
 }
 
-/// Waits for the first of two attempts that has a result; the other one runs on by itself.
-async fn either(first: Running, second: Running) -> Result<Done, Miss> {
-    let (end, other) = match future::select(first, second).await {
-        Either::Left(ended) => ended,
-        Either::Right(ended) => ended,
+/// Returns the first successful result of two attempts; the other attempt completes in the
+/// background.
+async fn first_success(
+    first: RunningAttempt,
+    second: RunningAttempt,
+) -> Result<Outcome, AttemptFailure> {
+    let (result, other) = match future::select(first, second).await {
+        Either::Left(finished) => finished,
+        Either::Right(finished) => finished,
     };
-    if end.is_ok() {
+    if result.is_ok() {
         compio::runtime::spawn(other).detach();
-        return end;
+        return result;
     }
     other.await
 }
--- a/crates/front/src/session/tx.rs
+++ b/crates/front/src/session/tx.rs
@@ -1,40 +1,40 @@
-//! Transactions: one connection from the first statement to the end.
+//! Transactions: each uses one connection from its first statement to its end.
 
 use model::route::Route;
 use model::statement::{Access, Code, TxState};
 use model::unit::{Span, Time};
 use policy::pool::{ConnRequest, Kind};
 
-use super::attempt::{self, Lost, Tries};
-use super::{Done, Failure, Job, Session};
+use super::attempt::{self, Attempts, Lost};
+use super::{Failure, Job, Outcome, Session};
 use crate::clock;
 use crate::conn::{Payload, Setup, SetupOutcome};
 use crate::group::{Lent, Note};
 
-/// Longest wait for a connection to drop a transaction; then it is closed, which drops
-/// the transaction as well.
-const ROLL_BACK_LIMIT: Span = Span::from_millis(500);
+/// Longest wait for a rollback; after it the connection is closed, which rolls the transaction
+/// back as well.
+const ROLLBACK_TIMEOUT: Span = Span::from_millis(500);
 
-/// Tries of a statement whose instance has no slot; the transaction cannot go elsewhere.
-const BUSY_TRIES: u32 = 4;
+/// Attempts of a statement whose instance is busy; an open transaction cannot change instances.
+const BUSY_ATTEMPTS: u32 = 4;
 
-/// Pause before such a try; slots are free again after a statement of 6 to 40 ms.
+/// Delay before such a retry; a statement occupies a slot for 6 to 40 ms.
 const BUSY_PAUSE: Span = Span::from_millis(20);
 
 /// A session's transaction.
 pub(super) enum Tx {
     /// None is open.
     None,
-    /// Opened by the caller; it gets its connection with its first statement, so that a
-    /// pause before that holds none.
+    /// Begun by the caller, without a connection yet: it is checked out for the first statement,
+    /// so that a pause before that occupies none.
     Pending(Access, Time, Box<Route>),
     /// It runs on a connection.
-    Open(Box<Open>),
-    /// It failed; whatever it did is dropped.
+    Open(Box<OpenTx>),
+    /// Failed; its work is rolled back.
     Failed,
 }
 
-pub(super) struct Open {
+pub(super) struct OpenTx {
     lent: Lent,
     route: Route,
     wrote: bool,
@@ -62,75 +62,76 @@
         matches!(self, Self::Open(_))
     }
 
-    /// Marks an open transaction as failed. Its connection is closed: a transaction that
-    /// fails on a name of its own is rare, and closing drops it for certain.
+    /// Marks an open transaction as failed and closes its connection, which reliably rolls it
+    /// back. That costs a connection, but such failures (an unknown prepared statement, a second
+    /// BEGIN) are rare.
     pub(super) fn mark_failed(&mut self) {
         if !self.is_none() {
             *self = Self::Failed;
         }
     }
 
-    /// Drops an open transaction on the proxy's own account; the caller learns it from the
-    /// answer to its next statement.
-    pub(super) async fn fail(&mut self, cause: &'static str) {
+    /// Aborts an open transaction on the proxy's own initiative; the caller finds out by the reply
+    /// to its next statement.
+    pub(super) async fn abort(&mut self, cause: &'static str) {
         if self.is_none() || self.has_failed() {
             return;
         }
-        tracing::info!(cause, "a transaction was ended");
+        tracing::info!(cause, "a transaction was aborted");
         if let Self::Open(open) = std::mem::replace(self, Self::Failed) {
-            open.drop_work().await;
+            open.roll_back().await;
         }
     }
 
-    /// Drops an open transaction because nobody is there any more.
-    pub(super) async fn give_up(&mut self, cause: &'static str) {
+    /// Rolls back an open transaction whose caller has disconnected.
+    pub(super) async fn abandon(&mut self, cause: &'static str) {
         if let Self::Open(open) = std::mem::replace(self, Self::None) {
-            tracing::debug!(cause, "a transaction was dropped");
-            open.drop_work().await;
+            tracing::debug!(cause, "a transaction is rolled back");
+            open.roll_back().await;
         }
     }
 }
 
-impl Open {
-    async fn drop_work(mut self: Box<Self>) {
-        let limit = ROLL_BACK_LIMIT.as_duration();
+impl OpenTx {
+    async fn roll_back(mut self: Box<Self>) {
+        let limit = ROLLBACK_TIMEOUT.as_duration();
         let Some(conn) = self.lent.conn() else { return };
         match conn.roll_back(limit).await {
             Ok(()) => self.lent.give_back(),
             Err(e) => {
-                // Dropping the connection closes it, and the instance drops the work.
-                tracing::info!(instance = %self.lent.instance, cause = %e, "a transaction was dropped with its connection");
+                // Dropping `lent` closes the connection, and the instance rolls back.
+                tracing::info!(instance = %self.lent.instance, cause = %e, "a transaction could not be rolled back; its connection is closed");
             }
         }
     }
 }
 
 impl Session {
-    pub(super) fn begin(&mut self, job: &Job, access: Access) -> Result<Done, Failure> {
+    pub(super) fn begin(&mut self, job: &Job, access: Access) -> Result<Outcome, Failure> {
         if !self.tx.is_none() {
             self.tx.mark_failed();
             return Err(Failure::Malformed);
         }
         let route = self.route()?;
         self.tx = Tx::Pending(access, job.arrived, Box::new(route));
-        Ok(Done::default())
+        Ok(Outcome::default())
     }
 
-    pub(super) async fn roll_back(&mut self) -> Result<Done, Failure> {
+    pub(super) async fn roll_back(&mut self) -> Result<Outcome, Failure> {
         match std::mem::replace(&mut self.tx, Tx::None) {
             Tx::None => return Err(Failure::Malformed),
             Tx::Pending(..) | Tx::Failed => {}
-            Tx::Open(open) => open.drop_work().await,
+            Tx::Open(open) => open.roll_back().await,
         }
-        Ok(Done::default())
+        Ok(Outcome::default())
     }
 
-    pub(super) async fn commit(&mut self, job: &Job) -> Result<Done, Failure> {
+    pub(super) async fn commit(&mut self, job: &Job) -> Result<Outcome, Failure> {
         match &self.tx {
             Tx::None => return Err(Failure::Malformed),
             Tx::Failed => {
                 self.tx = Tx::None;
-                return Err(Failure::Ended("it had failed before"));
+                return Err(Failure::Aborted("it had failed before"));
             }
             Tx::Pending(access, arrived, route) => {
                 let (access, arrived, route) = (*access, *arrived, route.clone());
@@ -147,43 +148,51 @@
         self.commit_on(job, *open).await
     }
 
-    async fn commit_on(&mut self, job: &Job, mut open: Open) -> Result<Done, Failure> {
+    async fn commit_on(&mut self, job: &Job, mut open: OpenTx) -> Result<Outcome, Failure> {
         let limit = open.route.time_limit;
-        for attempt in 0..BUSY_TRIES {
+        for attempt in 0..BUSY_ATTEMPTS {
             let since = clock::now();
-            let what = Payload::Text(job.text.clone());
-            let answer = attempt::send(&mut open.lent, job, None, &what, open.wrote, limit).await;
-            let answer = match answer {
-                Ok(answer) => answer,
+            let payload = Payload::Text(job.text.clone());
+            let response =
+                attempt::send(&mut open.lent, job, None, &payload, open.wrote, limit).await;
+            let response = match response {
+                Ok(response) => response,
                 Err(lost) => return Err(lost.of_commit(open.wrote)),
             };
-            match answer.code {
+            match response.code {
                 None => {
                     if open.wrote {
-                        self.own = self.own.max(answer.point);
-                        attempt::record_proof(&mut open.lent, since, &answer);
+                        self.own_write = self.own_write.max(response.point);
+                        attempt::record_proof(&mut open.lent, since, &response);
                         open.lent.note(Note::Wrote);
                     }
-                    let done = Done {
-                        lines: answer.lines,
-                        point: answer.point,
+                    let outcome = Outcome {
+                        lines: response.lines,
+                        point: response.point,
                         instance: Some(open.lent.instance.clone()),
                     };
-                    let until = self.prove_until(&open.route, job.arrived + limit);
-                    attempt::prove(open.lent, done.point, until.filter(|_| open.wrote)).await?;
-                    return Ok(done);
+                    let until = self.ack_deadline(&open.route, job.arrived + limit);
+                    attempt::release_acknowledged(
+                        open.lent,
+                        outcome.point,
+                        until.filter(|_| open.wrote),
+                    )
+                    .await?;
+                    return Ok(outcome);
                 }
-                Some(Code::Busy) if answer.state == TxState::Open && attempt + 1 < BUSY_TRIES => {
+                Some(Code::Busy)
+                    if response.state == TxState::Open && attempt + 1 < BUSY_ATTEMPTS =>
+                {
                     compio::time::sleep(BUSY_PAUSE.as_duration()).await;
                 }
                 Some(code) => {
                     if code == Code::ReadOnly {
                         open.lent.note(Note::ReadOnly);
                     }
-                    if answer.state == TxState::Idle {
+                    if response.state == TxState::Idle {
                         open.lent.give_back();
                     } else {
-                        Box::new(open).drop_work().await;
+                        Box::new(open).roll_back().await;
                     }
                     return Err(Failure::Instance(code));
                 }
@@ -197,13 +206,13 @@
         &mut self,
         job: &Job,
         access: Access,
-        what: &Payload,
-    ) -> Result<Done, Failure> {
-        let result = self.try_in_tx(job, access, what).await;
+        payload: &Payload,
+    ) -> Result<Outcome, Failure> {
+        let result = self.try_in_tx(job, access, payload).await;
         if result.is_err()
             && let Tx::Open(open) = std::mem::replace(&mut self.tx, Tx::Failed)
         {
-            open.drop_work().await;
+            open.roll_back().await;
         }
         result
     }
@@ -212,11 +221,11 @@
         &mut self,
         job: &Job,
         access: Access,
-        what: &Payload,
-    ) -> Result<Done, Failure> {
+        payload: &Payload,
+    ) -> Result<Outcome, Failure> {
         if let Tx::Pending(opened, arrived, route) = &self.tx {
             let (opened, arrived, route) = (*opened, *arrived, route.clone());
-            let shape = what.shape();
+            let shape = payload.shape();
             self.open(job, opened, arrived, &route, shape).await?;
         }
         let Tx::Open(open) = &mut self.tx else {
@@ -224,37 +233,39 @@
         };
         let setup = Setup {
             values: Some(&self.values),
-            shape: what.shape(),
+            shape: payload.shape(),
             begin: None,
             verify_primary: false,
         };
         let limit = open.route.time_limit;
         let Some(conn) = open.lent.conn() else {
-            return Err(Failure::LostUnkept);
+            return Err(Failure::LostNoEffect);
         };
         match conn.set_up(setup, limit.as_duration()).await {
             Ok(SetupOutcome::Ready) => {}
-            Ok(SetupOutcome::Refused(code)) => return Err(Failure::Instance(code)),
-            Err(e) => return Err(Lost::new(&open.lent, job, &e).unkept()),
+            Ok(SetupOutcome::Rejected(code)) => return Err(Failure::Instance(code)),
+            Err(e) => return Err(Lost::new(&open.lent, job, &e).no_effect()),
         }
         open.wrote |= access == Access::Write;
-        for attempt in 0..BUSY_TRIES {
+        for attempt in 0..BUSY_ATTEMPTS {
             let since = clock::now();
-            let answer = attempt::send(&mut open.lent, job, None, what, false, limit).await;
-            let answer = answer.map_err(Lost::unkept)?;
-            match answer.code {
+            let response = attempt::send(&mut open.lent, job, None, payload, false, limit).await;
+            let response = response.map_err(Lost::no_effect)?;
+            match response.code {
                 None => {
                     if open.access == Access::Write {
-                        attempt::record_proof(&mut open.lent, since, &answer);
+                        attempt::record_proof(&mut open.lent, since, &response);
                         open.lent.tell_proof();
                     }
-                    return Ok(Done {
-                        lines: answer.lines,
-                        point: answer.point,
+                    return Ok(Outcome {
+                        lines: response.lines,
+                        point: response.point,
                         instance: Some(open.lent.instance.clone()),
                     });
                 }
-                Some(Code::Busy) if answer.state == TxState::Open && attempt + 1 < BUSY_TRIES => {
+                Some(Code::Busy)
+                    if response.state == TxState::Open && attempt + 1 < BUSY_ATTEMPTS =>
+                {
                     compio::time::sleep(BUSY_PAUSE.as_duration()).await;
                 }
                 Some(code) => {
@@ -277,24 +288,24 @@
         route: &Route,
         shape: Option<&model::statement::Shape>,
     ) -> Result<(), Failure> {
-        let give_up = job.arrived + route.time_limit;
+        let deadline = job.arrived + route.time_limit;
         let mut avoid = None;
-        let mut tries = Tries::default();
-        while tries.left() {
+        let mut attempts = Attempts::default();
+        while attempts.any_left() {
             let kind = match access {
                 Access::Write => Kind::Write,
                 Access::Read => Kind::Read(route.guarantee),
             };
-            let ask = ConnRequest {
+            let request = ConnRequest {
                 kind,
-                own_write: self.own,
+                own_write: self.own_write,
                 arrived,
-                deadline: give_up,
+                deadline,
                 priority: route.priority,
                 avoid: avoid.take(),
                 may_wait: false,
             };
-            let mut lent = self.cx.checkout(&route.group, ask).await?;
+            let mut lent = self.cx.checkout(&route.group, request).await?;
             let setup = Setup {
                 values: Some(&self.values),
                 shape,
@@ -307,7 +318,7 @@
             match set {
                 Ok(SetupOutcome::Ready) => {
                     lent.tell_proof();
-                    let open = Open {
+                    let open = OpenTx {
                         lent,
                         route: route.clone(),
                         wrote: false,
@@ -316,19 +327,19 @@
                     self.tx = Tx::Open(Box::new(open));
                     return Ok(());
                 }
-                Ok(SetupOutcome::Refused(code)) => {
-                    attempt::learn(&lent, code);
-                    tracing::info!(id = %job.id, instance = %lent.instance, ?code, after = after.map(tracing::field::display), prove, failed = tries.failed, busy = tries.busy, "a transaction was not opened");
+                Ok(SetupOutcome::Rejected(code)) => {
+                    attempt::report_rejection(&lent, code);
+                    tracing::info!(id = %job.id, instance = %lent.instance, ?code, after = after.map(tracing::field::display), prove, failed = attempts.failed, busy = attempts.busy, "a transaction was not opened");
                     avoid = Some(lent.instance.clone());
-                    attempt::after_refusal(lent, code);
-                    tries.missed(code).await;
+                    attempt::release_after_rejection(lent, code);
+                    attempts.record_not_run(code).await;
                 }
                 Err(e) => {
                     let lost = Lost::new(&lent, job, &e);
                     avoid = Some(lent.instance.clone());
-                    tries.lost();
-                    if !tries.left() {
-                        return Err(lost.unkept());
+                    attempts.lost();
+                    if !attempts.any_left() {
+                        return Err(lost.no_effect());
                     }
                 }
             }
--- a/crates/front/src/stream.rs
+++ b/crates/front/src/stream.rs
@@ -8,113 +8,114 @@
 use compio::net::TcpStream;
 use platform::line;
 
-/// Room for one read. Statements and rows have some hundred bytes, and an idle session
-/// keeps its buffer, so a larger one would cost memory for nothing.
-const CHUNK: usize = 2_048;
+/// Buffer size of one read. Statements and rows have some hundred bytes, and an idle session
+/// keeps its buffer, so a larger one would waste memory.
+const READ_SIZE: usize = 2_048;
 
-/// Why no line comes.
+/// Why no line can be read or sent.
 #[derive(Debug, thiserror::Error)]
 pub enum StreamError {
-    /// The other end closed the connection.
+    /// The other side closed the connection.
     #[error("the connection was closed")]
     Closed,
-    /// Nothing came in time.
-    #[error("nothing came in time")]
+    /// Nothing was received in time.
+    #[error("nothing was received in time")]
     Timeout,
-    /// The connection broke.
-    #[error("the connection broke: {0}")]
+    /// The connection failed.
+    #[error("the connection failed: {0}")]
     Broken(#[from] io::Error),
     /// A line is longer than the protocol allows.
     #[error("a message is too long")]
     TooLong,
 }
 
-/// The reading half: a buffer of what came.
+/// The reading half, with a buffer of the received bytes.
 ///
-/// Invariant: bytes before `used` have been given out.
+/// Invariant: bytes before `consumed` have been returned to the caller.
 pub struct Reader {
     stream: TcpStream,
     buf: Vec<u8>,
-    used: usize,
+    consumed: usize,
 }
 
 /// The writing half.
 pub struct Writer(TcpStream);
 
-/// Splits a connection; small messages go out at once.
+/// Splits a connection; small messages are sent at once.
 pub fn split(stream: TcpStream) -> io::Result<(Reader, Writer)> {
     stream.set_nodelay(true)?;
     let (reader, writer) = stream.into_split();
     let reader = Reader {
         stream: reader,
         buf: Vec::new(),
-        used: 0,
+        consumed: 0,
     };
     Ok((reader, Writer(writer)))
 }
 
 impl Reader {
-    /// Whether a whole line has come that was not given out yet.
+    /// Whether the buffer contains a complete line that has not been returned yet.
     pub fn has_line(&self) -> bool {
         self.end_of_line().is_some()
     }
 
     fn end_of_line(&self) -> Option<usize> {
-        let rest = &self.buf[self.used..];
+        let rest = &self.buf[self.consumed..];
         let at = rest.windows(line::END.len()).position(|w| w == line::END)?;
-        Some(self.used + at)
+        Some(self.consumed + at)
     }
 
-    /// Waits for the next line and gives it without its end.
+    /// Waits for the next line and returns it without its line ending.
     pub async fn line(&mut self) -> Result<&[u8], StreamError> {
         loop {
             if let Some(end) = self.end_of_line() {
-                let start = self.used;
-                self.used = end + line::END.len();
+                let start = self.consumed;
+                self.consumed = end + line::END.len();
                 return Ok(&self.buf[start..end]);
             }
             self.fill().await?;
         }
     }
 
-    /// The same for a line that may be long: its first bytes must come within `begin`, and
-    /// more of it within each `go_on` from then on. After a failure the reader is of no use.
+    /// Like [`Self::line`] for a line that may be long: its first bytes must arrive within
+    /// `first_timeout`, and each further part within `next_timeout`. After an error the reader
+    /// is unusable.
     pub async fn long_line(
         &mut self,
-        begin: Duration,
-        go_on: Duration,
+        first_timeout: Duration,
+        next_timeout: Duration,
     ) -> Result<&[u8], StreamError> {
-        let mut limit = begin;
+        let mut limit = first_timeout;
         while !self.has_line() {
             let filled = compio::time::timeout(limit, self.fill()).await;
             filled.map_err(|_| StreamError::Timeout)??;
-            limit = go_on;
+            limit = next_timeout;
         }
         self.line().await
     }
 
-    /// Waits for bytes and gives all that came.
+    /// Returns all buffered bytes; waits for some if there are none.
     pub async fn chunk(&mut self) -> Result<Vec<u8>, StreamError> {
-        if self.used == self.buf.len() {
+        if self.consumed == self.buf.len() {
             self.fill().await?;
         }
-        let chunk = self.buf.split_off(self.used);
+        let chunk = self.buf.split_off(self.consumed);
         self.buf.clear();
-        self.used = 0;
+        self.consumed = 0;
         Ok(chunk)
     }
 
     async fn fill(&mut self) -> Result<(), StreamError> {
-        if self.buf.len() - self.used > line::MAX_MESSAGE {
+        if self.buf.len() - self.consumed > line::MAX_MESSAGE {
             return Err(StreamError::TooLong);
         }
         let mut buf = std::mem::take(&mut self.buf);
-        buf.drain(..self.used);
-        self.used = 0;
-        if buf.is_empty() && buf.capacity() > CHUNK {
+        buf.drain(..self.consumed);
+        self.consumed = 0;
+        if buf.is_empty() && buf.capacity() > READ_SIZE {
             buf = Vec::new();
         }
-        buf.reserve_exact(CHUNK);
+        buf.reserve_exact(READ_SIZE);
         let BufResult(read, buf) = self.stream.append(buf).await;
         self.buf = buf;
         match read? {
@@ -131,7 +132,7 @@
         written
     }
 
-    /// Tells the other end that nothing more comes.
+    /// Shuts the sending direction down, which signals the end of the stream.
     pub async fn finish(&mut self) -> io::Result<()> {
         use compio::io::AsyncWrite as _;
         self.0.shutdown().await
--- a/crates/front/tests/poolers.rs
+++ b/crates/front/tests/poolers.rs
@@ -13,7 +13,7 @@
 }
 
 /// A platform whose instances accept two connections, and three proxies: too few for
-/// each to hold its own, so one carries the group for the others.
+/// each to hold its own, so one pools the group's connections for the others.
 fn scarce() -> (Managed, Vec<std::net::SocketAddr>) {
     let managed = Managed::start(3).unwrap();
     managed.configure(&with_connections(1, &DATABASES, 2));
@@ -22,11 +22,11 @@
     (managed, proxies.to_vec())
 }
 
-/// Callers of every proxy are served over the carrier's connections: transactions keep
-/// theirs, values and prepared statements are those of the session, and a session reads
+/// Callers of every proxy are served over the pooler's connections: a transaction keeps its
+/// connection, values and prepared statements are those of the session, and a session reads
 /// its own writes.
 #[test]
-fn a_carrier_serves_the_callers_of_all_proxies() {
+fn a_pooler_serves_the_callers_of_all_proxies() {
     let (managed, proxies) = scarce();
     for (n, proxy) in proxies.iter().enumerate() {
         let mut session = caller(*proxy, "audit");
@@ -41,11 +41,10 @@
     assert_eq!(managed.log().len(), 6);
 }
 
-/// The primary of a group goes down that only one proxy holds connections to. The callers
-/// of the others see the same as those of that one: refusals that are true, and then their
-/// writes on the new primary.
+/// The primary of a group fails while only one proxy holds connections to it. The callers of
+/// all proxies see the same: truthful errors, and then their writes on the new primary.
 #[test]
-fn a_lost_primary_is_replaced_behind_a_carrier() {
+fn a_lost_primary_is_replaced_behind_a_pooler() {
     let (managed, proxies) = scarce();
     let mut sessions: Vec<_> = proxies.iter().map(|p| caller(*p, "filing")).collect();
     for session in &mut sessions {
@@ -60,11 +59,11 @@
     assert_eq!(managed.log().len(), 6);
 }
 
-/// A proxy without connections of its own looked at a lost primary while somebody waited,
-/// and went on doubting it long after the change, as nobody waited any more. When the group
-/// changed back to that instance it was replaced again and again.
+/// Guards against a proxy without connections of its own that probes a lost primary only while
+/// a caller waits, and keeps suspecting it long after the change because no caller waits any
+/// more. When the group changed back to that instance, it was replaced again and again.
 #[test]
-fn doubts_end_with_the_change() {
+fn suspicions_end_with_the_change() {
     let (managed, proxies) = scarce();
     let mut sessions: Vec<_> = proxies.iter().map(|p| caller(*p, "filing")).collect();
     managed.set_fault(0, Fault::Dark);
@@ -79,10 +78,10 @@
     wait(|| managed.keys("pomelo/doubt/").is_empty().then_some(()));
 }
 
-/// A caller leaves in the middle of a transaction that runs on a carrier's connection. The
-/// work is dropped and the connection serves the next caller, who finds no transaction.
+/// A caller disconnects in the middle of a transaction on a pooler's connection. The
+/// transaction is rolled back, and the connection serves the next caller without it.
 #[test]
-fn a_transaction_left_behind_a_carrier_is_dropped() {
+fn a_transaction_left_behind_a_pooler_is_rolled_back() {
     let (managed, proxies) = scarce();
     for proxy in &proxies {
         let mut session = caller(*proxy, "filing");
@@ -96,22 +95,22 @@
     assert!(managed.log().iter().all(|entry| entry == "a=kept"));
 }
 
-/// Guards against a restart of hundreds of proxies after which each asks all instances of all
-/// groups who leads, before it knows that others hold the connections.
+/// Guards against a restart of hundreds of proxies after which each queries all instances of all
+/// groups for the primary, before it knows that others hold the connections.
 #[test]
-fn a_proxy_that_borrows_opens_no_connection_when_it_starts() {
+fn a_client_proxy_opens_no_connection_when_it_starts() {
     let (managed, _) = scarce();
     let known = |name: &str| Proxy {
         id: name.parse().unwrap(),
         data_centre: "dc-a".parse().unwrap(),
     };
-    let borrows = |name: &str| {
+    let is_client = |name: &str| {
         let live = ["p1", "p2", "p3"].map(known);
         !pooler::plan(&"ledger".parse().unwrap(), 2, &known(name), &live).is_holder
     };
     let name = ["p4", "p5", "p6", "p7"]
         .into_iter()
-        .find(|n| borrows(n))
+        .find(|n| is_client(n))
         .unwrap();
     let (proxy, address) = proxy_and_metrics(&managed, name);
     let mut session = caller(proxy, "filing");
