--- /dev/null
+++ b/crates/front/src/checkout.rs
@@ -0,0 +1,193 @@
+//! Checkout of a connection for a statement: from this proxy's own pool, from a pooler of
+//! its data centre, or from any other proxy that reaches the group (the fallback).
+
+use std::cell::RefCell;
+use std::net::SocketAddr;
+
+use indexmap::IndexMap;
+use model::id::{GroupId, ProxyId};
+use model::unit::Span;
+use policy::fallback::{Fallback, FallbackChoice};
+use policy::pool::{ConnRequest, Reason, Rejection};
+use policy::pooler_retry::{Next, PoolerAttempts};
+
+use crate::clock;
+use crate::cx::Cx;
+use crate::group::Lent;
+use crate::relay;
+
+/// Retry hint while a group is not known yet; the store reports it within a second.
+const UNKNOWN_RETRY: Span = Span::from_millis(500);
+
+/// A proxy that pools a group's connections.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Pooler {
+    /// Its id.
+    pub proxy: ProxyId,
+    /// Address of its relay listener; `None` for this proxy itself.
+    pub address: Option<SocketAddr>,
+}
+
+/// Sources of connections to each group besides this proxy's own pool.
+#[derive(Default)]
+pub struct ConnSources(RefCell<IndexMap<GroupId, ConnSource>>);
+
+/// Sources of connections to one group.
+#[derive(Default)]
+struct ConnSource {
+    /// Poolers of this data centre; empty if this proxy holds connections itself.
+    poolers: Vec<Pooler>,
+    /// Relay addresses of all other proxies, the best one first.
+    peers: IndexMap<ProxyId, SocketAddr>,
+    fallback: Fallback,
+}
+
+impl ConnSources {
+    fn with<T>(&self, group: &GroupId, act: impl FnOnce(&mut ConnSource) -> T) -> T {
+        let mut sources = self.0.borrow_mut();
+        act(sources.entry(group.clone()).or_default())
+    }
+
+    /// Sets the poolers of a group; empty if this proxy holds connections itself.
+    pub fn set_poolers(&self, group: &GroupId, poolers: Vec<Pooler>) {
+        self.with(group, |source| source.poolers = poolers);
+    }
+
+    /// Sets the other proxies, the best one first.
+    pub fn set_peers(&self, group: &GroupId, peers: IndexMap<ProxyId, SocketAddr>) {
+        self.with(group, |source| source.peers = peers);
+    }
+
+    fn poolers(&self, group: &GroupId) -> Vec<Pooler> {
+        self.with(group, |source| source.poolers.clone())
+    }
+
+    fn fallback_choice(&self, group: &GroupId) -> FallbackChoice {
+        self.with(group, |source| {
+            let peers: Vec<_> = source.peers.keys().cloned().collect();
+            source.fallback.choose(&peers, clock::now())
+        })
+    }
+
+    fn address(&self, group: &GroupId, peer: &ProxyId) -> Option<SocketAddr> {
+        self.with(group, |source| source.peers.get(peer).copied())
+    }
+
+    fn found(&self, group: &GroupId, peer: &ProxyId) -> bool {
+        self.with(group, |source| source.fallback.found(peer))
+    }
+
+    fn lost(&self, group: &GroupId, peer: &ProxyId) {
+        self.with(group, |source| source.fallback.lost(peer));
+    }
+}
+
+impl Cx {
+    /// Waits for a connection to a group, from this proxy or from another one.
+    pub async fn checkout(&self, group: &GroupId, mut req: ConnRequest) -> Result<Lent, Rejection> {
+        while clock::now() < req.deadline {
+            match self.pooler_conn(group, &req).await {
+                Ok(result) => return result,
+                Err(Next::OwnPool | Next::NextPooler) => return self.own_conn(group, req).await,
+                Err(Next::RetryAfter(pause)) => compio::time::sleep(pause.as_duration()).await,
+                Err(Next::Fallback) => match self.remote_conn(group, &req).await {
+                    Some(result) => return result,
+                    // No proxy reaches the group, so the request waits at the pooler.
+                    None => req.may_wait = true,
+                },
+            }
+        }
+        Err(unknown())
+    }
+
+    /// Requests a connection from the poolers of this data centre, one after the other;
+    /// returns the next step if none of them serves the request.
+    async fn pooler_conn(
+        &self,
+        group: &GroupId,
+        req: &ConnRequest,
+    ) -> Result<Result<Lent, Rejection>, Next> {
+        let mut poolers = self.sources.poolers(group).into_iter().peekable();
+        let mut attempts = PoolerAttempts::default();
+        while let Some(pooler) = poolers.next() {
+            let Some(address) = pooler.address else {
+                // This proxy itself.
+                return Err(Next::OwnPool);
+            };
+            match self
+                .relay
+                .checkout(&pooler.proxy, address, group, req)
+                .await
+            {
+                Ok(lent) => return Ok(Ok(lent)),
+                Err(relay::CheckoutFailure::Rejected(rejection)) => return Ok(Err(rejection)),
+                Err(relay::CheckoutFailure::NotGranted(failure)) => {
+                    match attempts.failed(failure, poolers.peek().is_some()) {
+                        Next::NextPooler => {}
+                        next => return Err(next),
+                    }
+                }
+            }
+        }
+        Err(Next::OwnPool)
+    }
+
+    /// Waits for a connection of this proxy, or uses another proxy if no instance that could
+    /// serve the request is reachable from here.
+    async fn own_conn(&self, group: &GroupId, mut req: ConnRequest) -> Result<Lent, Rejection> {
+        let Some(handle) = self.group(group) else {
+            return Err(unknown());
+        };
+        loop {
+            match handle.ask(req.clone()).await {
+                Err(rejection) if rejection.reason == Reason::Unreachable && !req.may_wait => {}
+                result => return result,
+            }
+            match self.remote_conn(group, &req).await {
+                Some(result) => return result,
+                None => req.may_wait = true,
+            }
+        }
+    }
+
+    /// Requests a connection from other proxies; `None` if none of them serves the request, or
+    /// another statement is searching for such a proxy at the moment.
+    async fn remote_conn(
+        &self,
+        group: &GroupId,
+        req: &ConnRequest,
+    ) -> Option<Result<Lent, Rejection>> {
+        let peers = match self.sources.fallback_choice(group) {
+            FallbackChoice::Known(peer) => vec![peer],
+            FallbackChoice::Search(peers) => peers,
+            FallbackChoice::None => return None,
+        };
+        for peer in peers {
+            let Some(address) = self.sources.address(group, &peer) else {
+                self.sources.lost(group, &peer);
+                continue;
+            };
+            match self.relay.checkout(&peer, address, group, req).await {
+                Ok(lent) => {
+                    if self.sources.found(group, &peer) {
+                        tracing::info!(%group, %peer, instance = %lent.instance, "an unreachable group is served through another proxy");
+                        if let Some(handle) = self.group(group) {
+                            handle.release();
+                        }
+                    }
+                    return Some(Ok(lent));
+                }
+                Err(relay::CheckoutFailure::Rejected(rejection)) => return Some(Err(rejection)),
+                Err(relay::CheckoutFailure::NotGranted(_)) => self.sources.lost(group, &peer),
+            }
+        }
+        None
+    }
+}
+
+fn unknown() -> Rejection {
+    Rejection {
+        reason: Reason::NoInstance,
+        retry_after: UNKNOWN_RETRY,
+    }
+}
--- a/crates/front/src/coordinator/queries.rs
+++ b/crates/front/src/coordinator/queries.rs
@@ -113,8 +113,8 @@
             let group = self.group.clone();
             async move {
                 let lent = group.ask(control_request(entry, timeout)).await;
-                let mut lent = lent.map_err(|_| ConnError::Silent)?;
-                let conn = lent.conn().ok_or(ConnError::Silent)?;
+                let mut lent = lent.map_err(|_| ConnError::Timeout)?;
+                let conn = lent.conn().ok_or(ConnError::Timeout)?;
                 let state = conn.state(own, timeout).await;
                 if matches!(state, Ok(_) | Err(ConnError::Refused(_))) {
                     lent.give_back();
--- a/crates/front/src/lib.rs
+++ b/crates/front/src/lib.rs
@@ -4,6 +4,7 @@
 //! directory follows the platform's store; one proxy at a time coordinates changes of
 //! primary. Decisions come from the `policy` crate.
 
+pub mod checkout;
 pub mod cli;
 pub mod clock;
 pub mod config;
@@ -15,7 +16,6 @@
 pub mod feed;
 pub mod group;
 pub mod health;
-pub mod lend;
 pub mod logs;
 pub mod metrics;
 pub mod pages;
