--- a/crates/front/tests/soak/faults.rs
+++ b/crates/front/tests/soak/faults.rs
@@ -9,9 +9,9 @@
 use standin::managed::wire::{Weather, Wire};
 use standin::managed::{Fault, StoreFault};
 
-use crate::bed::{Bed, INSTANCES};
 use crate::config;
 use crate::oracle::Oracle;
+use crate::testbed::{Bed, INSTANCES};
 
 /// What ends by itself after a while.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/front/tests/soak/main.rs
+++ b/crates/front/tests/soak/main.rs
@@ -11,20 +11,20 @@
 #[path = "../env/mod.rs"]
 mod env;
 
-mod bed;
 mod callers;
 mod config;
 mod faults;
 mod oracle;
+mod testbed;
 
 use std::io::Write as _;
 use std::sync::atomic::Ordering;
 use std::thread;
 use std::time::Duration;
 
-use bed::Bed;
 use env::{Caller, wait};
 use oracle::Oracle;
+use testbed::Bed;
 
 const CALLERS: usize = 6;
 
