--- a/crates/front/src/coordinator.rs
+++ b/crates/front/src/coordinator.rs
@@ -208,7 +208,7 @@
         let (holder, target) = (&self.member.id, (group, instance));
         let answer = platform::order::promote(&self.orders, holder, token, target, ORDER).await;
         let told = answer.as_ref().ok().copied();
-        self.cx.metrics.ordered(purpose, told);
+        self.cx.metrics.order_ended(purpose, told);
         if matches!(told, None | Some(OrderResponse::Accepted)) {
             self.accounts
                 .with(group, |e| e.record_order(purpose, instance));
@@ -228,7 +228,7 @@
             last_purpose: after,
         }) = late
         {
-            self.cx.metrics.order_late(after);
+            self.cx.metrics.unexpected_primary(after);
             tracing::warn!(%group, %instance, ?after, "an instance leads that the last order does not account for");
         }
     }
--- a/crates/front/src/coordinator/links.rs
+++ b/crates/front/src/coordinator/links.rs
@@ -156,7 +156,7 @@
         let states = self.each(&entries, own).await;
         for entry in &entries {
             let answered = states.contains_key(&entry.id);
-            this.cx.metrics.told(own, answered);
+            this.cx.metrics.command_ended(own, answered);
         }
         states
     }
--- a/crates/front/src/coordinator/takeover.rs
+++ b/crates/front/src/coordinator/takeover.rs
@@ -62,14 +62,14 @@
         hold: None,
         ordered: false,
         led: false,
-        outcome: Outcome::GivenUp,
+        outcome: Outcome::TimedOut,
         links,
     };
     while !over(begun, change.limit()) {
         if !this.holds(duty) {
             // Whoever holds the duty now lets the replicas receive again, by `mend`.
             tracing::warn!(group = %id, "the duty was lost during a change of primary");
-            this.cx.metrics.change_ended(cause, Outcome::DutyLost);
+            this.cx.metrics.change_ended(cause, Outcome::RoleLost);
             return;
         }
         if change.go_on(this).await {
--- a/crates/front/src/cx.rs
+++ b/crates/front/src/cx.rs
@@ -17,7 +17,7 @@
 use crate::metrics::Metrics;
 use crate::place::Ways;
 use crate::relay;
-use crate::stop::Stop;
+use crate::stop::StopSignal;
 
 /// Shared by the tasks of one process; the directory's task writes, the others read.
 pub struct Cx {
@@ -36,16 +36,16 @@
     pub changes: Changes,
     ways: Ways,
     /// Bounds the lines about served statements.
-    pub served_lines: logs::Budget,
+    pub served_lines: logs::LineBudget,
     /// Metrics of the process.
     pub metrics: Metrics,
     /// How far the shutdown is.
-    pub stop: Stop,
+    pub stop: StopSignal,
 }
 
 impl Cx {
     /// A context without configuration.
-    pub fn new(ways: Ways, metrics: Metrics, stop: Stop) -> Self {
+    pub fn new(ways: Ways, metrics: Metrics, stop: StopSignal) -> Self {
         Self {
             routes: RefCell::default(),
             groups: RefCell::default(),
@@ -56,7 +56,7 @@
             concerns: concern::Board::default(),
             changes: Changes::default(),
             ways,
-            served_lines: logs::Budget::default(),
+            served_lines: logs::LineBudget::default(),
             metrics,
             stop,
         }
--- a/crates/front/src/group.rs
+++ b/crates/front/src/group.rs
@@ -402,7 +402,7 @@
         let metrics = self.metrics.clone();
         compio::runtime::spawn(async move {
             let opened = Conn::open(address, &group, &id, OPEN_LIMIT).await;
-            metrics.opened(opened.is_ok());
+            metrics.connection_attempted(opened.is_ok());
             let result = opened.map_err(|e| open_fault(&group, &id, &e));
             let _ = tx.send(Message::Opened(id, result));
         })
--- a/crates/front/src/group/probe.rs
+++ b/crates/front/src/group/probe.rs
@@ -184,7 +184,7 @@
 
     async fn on_new(&self) -> (Result<Proof, ProbeFailure>, Option<Conn>) {
         let opened = Conn::open(self.address, &self.group, &self.id, NEW_LIMIT).await;
-        self.metrics.opened(opened.is_ok());
+        self.metrics.connection_attempted(opened.is_ok());
         match opened {
             Ok(mut open) => {
                 let found = ask(&mut open, LIMIT).await;
--- a/crates/front/src/logs.rs
+++ b/crates/front/src/logs.rs
@@ -16,7 +16,7 @@
 use tracing_subscriber::util::SubscriberInitExt as _;
 
 /// Bytes that wait at most: a few seconds of lines under full load.
-pub const MAX_WAITING: usize = 256 << 10;
+pub const MAX_BUFFERED: usize = 256 << 10;
 
 /// Pause between two writes. Each costs a wake-up, so lines are gathered; a process that
 /// is killed loses no more than this.
@@ -37,9 +37,9 @@
 
 /// Takes lines for a writer that may be slow.
 #[derive(Clone, Default)]
-pub struct Lines(Arc<Shared>);
+pub struct LineBuffer(Arc<Shared>);
 
-impl Lines {
+impl LineBuffer {
     fn lock(&self) -> MutexGuard<'_, Waiting> {
         let waiting = self.0.waiting.lock();
         waiting.unwrap_or_else(PoisonError::into_inner)
@@ -48,7 +48,7 @@
     /// Takes a line, or counts it if too much waits already.
     pub fn take(&self, line: &[u8]) {
         let mut waiting = self.lock();
-        if waiting.bytes.len() + line.len() > MAX_WAITING {
+        if waiting.bytes.len() + line.len() > MAX_BUFFERED {
             waiting.left_out += 1;
             return;
         }
@@ -96,7 +96,7 @@
     }
 }
 
-impl io::Write for Lines {
+impl io::Write for LineBuffer {
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
         self.take(line);
         Ok(line.len())
@@ -107,7 +107,7 @@
     }
 }
 
-impl<'a> MakeWriter<'a> for Lines {
+impl<'a> MakeWriter<'a> for LineBuffer {
     type Writer = Self;
 
     fn make_writer(&'a self) -> Self {
@@ -117,7 +117,7 @@
 
 /// Keeps the logs running; dropping it writes out what waits.
 pub struct Guard {
-    lines: Lines,
+    lines: LineBuffer,
     thread: Option<thread::JoinHandle<()>>,
 }
 
@@ -139,7 +139,7 @@
 
 /// Bounds the lines about served statements.
 #[derive(Debug, Default)]
-pub struct Budget(Cell<Second>);
+pub struct LineBudget(Cell<Second>);
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Second {
@@ -148,7 +148,7 @@
     left_out: u64,
 }
 
-impl Budget {
+impl LineBudget {
     /// Whether a line may be written: the number that was left out before it, or `None`.
     pub fn take(&self, now: Time) -> Option<u64> {
         let mut second = self.0.get();
@@ -171,7 +171,7 @@
 
 /// Sends the process's logs to standard output.
 pub fn start() -> io::Result<Guard> {
-    let lines = Lines::default();
+    let lines = LineBuffer::default();
     let layer = tracing_logfmt::builder()
         .with_target(false)
         .layer()
--- a/crates/front/src/metrics.rs
+++ b/crates/front/src/metrics.rs
@@ -28,9 +28,9 @@
     /// Its order was given, and the ordered instance leads; that may be the old primary again.
     Led,
     /// Its time was over.
-    GivenUp,
+    TimedOut,
     /// This proxy lost the duty.
-    DutyLost,
+    RoleLost,
     /// Nothing was left to change: the primary is well, or another one led before an order.
     Abandoned,
 }
@@ -39,8 +39,8 @@
     const fn name(self) -> &'static str {
         match self {
             Self::Led => "led",
-            Self::GivenUp => "given_up",
-            Self::DutyLost => "duty_lost",
+            Self::TimedOut => "given_up",
+            Self::RoleLost => "duty_lost",
             Self::Abandoned => "abandoned",
         }
     }
@@ -152,20 +152,20 @@
     }
 
     /// A statement was answered.
-    pub fn answered(&self, code: Option<Code>, took: Span) {
+    pub fn statement_ended(&self, code: Option<Code>, took: Span) {
         let outcome = code.map_or("done", line::code_word);
         self.statements.with_label_values(&[outcome]).inc();
         self.took.observe(took.as_duration().as_secs_f64());
     }
 
     /// A connection to an instance was opened, or could not be.
-    pub fn opened(&self, ok: bool) {
+    pub fn connection_attempted(&self, ok: bool) {
         let outcome = if ok { "open" } else { "failed" };
         self.opened.with_label_values(&[outcome]).inc();
     }
 
     /// A line about a served statement was left out of the log.
-    pub fn line_left_out(&self) {
+    pub fn line_dropped(&self) {
         self.left_out.inc();
     }
 
@@ -182,20 +182,20 @@
     }
 
     /// The platform answered an order, or gave no answer that counts.
-    pub fn ordered(&self, purpose: Purpose, answer: Option<OrderResponse>) {
+    pub fn order_ended(&self, purpose: Purpose, answer: Option<OrderResponse>) {
         let labels = [purpose_name(purpose), answer_name(answer)];
         self.coordinator.orders.with_label_values(&labels).inc();
     }
 
     /// A primary leads that the last order, which was for `after`, does not account for.
-    pub fn order_late(&self, after: Option<Purpose>) {
+    pub fn unexpected_primary(&self, after: Option<Purpose>) {
         let labels = [after.map_or("none", purpose_name)];
         let late = &self.coordinator.orders_late;
         late.with_label_values(&labels).inc();
     }
 
     /// An instance was told something. Questions are not counted.
-    pub fn told(&self, own: &Own<'_>, answered: bool) {
+    pub fn command_ended(&self, own: &Own<'_>, answered: bool) {
         if let Some(order) = order_name(own) {
             let labels = [order, if answered { "answered" } else { "none" }];
             let told = &self.coordinator.replica_orders;
--- a/crates/front/src/run.rs
+++ b/crates/front/src/run.rs
@@ -20,7 +20,7 @@
 use crate::member::Member;
 use crate::metrics::{self, Metrics};
 use crate::place::Ways;
-use crate::stop::{self, Phase, Stopper};
+use crate::stop::{self, Phase, StopController};
 use crate::{clock, pages, relay, session};
 
 const SIGHUP: i32 = 1;
@@ -103,7 +103,7 @@
     Ok(())
 }
 
-async fn drain(cfg: &Config, cx: &Cx, stopper: Stopper) {
+async fn drain(cfg: &Config, cx: &Cx, stopper: StopController) {
     stopper.run(Span::from(cfg.grace_s), || cx.sessions()).await;
 }
 
--- a/crates/front/src/session.rs
+++ b/crates/front/src/session.rs
@@ -288,7 +288,7 @@
         }
         self.cx
             .metrics
-            .answered(result.as_ref().err().map(|f| f.code()), took);
+            .statement_ended(result.as_ref().err().map(|f| f.code()), took);
         line::put_ready(&mut buf, self.tx.state(), point);
         buf
     }
@@ -308,7 +308,7 @@
                 left_out,
                 "served"
             ),
-            None => self.cx.metrics.line_left_out(),
+            None => self.cx.metrics.line_dropped(),
         }
     }
 
--- a/crates/front/src/stop.rs
+++ b/crates/front/src/stop.rs
@@ -24,29 +24,29 @@
 
 /// Tells sessions how far the shutdown is.
 #[derive(Clone)]
-pub struct Stop {
+pub struct StopSignal {
     closing: flume::Receiver<()>,
     ending: flume::Receiver<()>,
 }
 
 /// Moves the shutdown on; each phase begins when its sender is dropped.
-pub struct Stopper {
+pub struct StopController {
     closing: flume::Sender<()>,
     ending: flume::Sender<()>,
 }
 
 /// A pair that has not begun to stop.
-pub fn pair() -> (Stopper, Stop) {
+pub fn pair() -> (StopController, StopSignal) {
     let (closing, closing_rx) = flume::bounded(1);
     let (ending, ending_rx) = flume::bounded(1);
-    let stop = Stop {
+    let stop = StopSignal {
         closing: closing_rx,
         ending: ending_rx,
     };
-    (Stopper { closing, ending }, stop)
+    (StopController { closing, ending }, stop)
 }
 
-impl Stop {
+impl StopSignal {
     /// The present phase.
     pub fn phase(&self) -> Phase {
         if self.ending.is_disconnected() {
@@ -70,7 +70,7 @@
     }
 }
 
-impl Stopper {
+impl StopController {
     /// Passes through the phases within the grace time; ends early when `sessions` says
     /// that none is left.
     pub async fn run(self, grace: Span, sessions: impl Fn() -> usize) {
--- a/crates/front/tests/carriers.rs
+++ b/crates/front/tests/carriers.rs
@@ -30,13 +30,16 @@
     let (managed, proxies) = scarce();
     for (n, proxy) in proxies.iter().enumerate() {
         let mut session = caller(*proxy, "audit");
-        session.insist(&format!("WRITE a{n} 1"));
-        assert!(session.ask("SET zone north").done());
-        assert!(session.ask("PREPARE s1 WRITE q").done());
-        assert!(session.ask("BEGIN").done());
-        assert!(session.ask(&format!("EXEC s1 a{n} 2")).done());
-        assert!(session.ask("COMMIT").done());
-        assert_eq!(session.insist(&format!("READ a{n}")).lines[0], "ROW 2");
+        session.query_until_done(&format!("WRITE a{n} 1"));
+        assert!(session.query("SET zone north").done());
+        assert!(session.query("PREPARE s1 WRITE q").done());
+        assert!(session.query("BEGIN").done());
+        assert!(session.query(&format!("EXEC s1 a{n} 2")).done());
+        assert!(session.query("COMMIT").done());
+        assert_eq!(
+            session.query_until_done(&format!("READ a{n}")).lines[0],
+            "ROW 2"
+        );
     }
     assert_eq!(managed.log().len(), 6);
 }
@@ -49,11 +52,11 @@
     let (managed, proxies) = scarce();
     let mut sessions: Vec<_> = proxies.iter().map(|p| caller(*p, "filing")).collect();
     for session in &mut sessions {
-        session.insist("WRITE a before");
+        session.query_until_done("WRITE a before");
     }
     managed.set_fault(0, Fault::Down);
     for session in &mut sessions {
-        let after = session.insist("WRITE a after");
+        let after = session.query_until_done("WRITE a after");
         assert_eq!(managed.runs(&after.id), 1);
     }
     assert_ne!(managed.primary(), 0);
@@ -70,7 +73,7 @@
     managed.set_fault(0, Fault::Dark);
     let callers: Vec<_> = sessions
         .drain(..)
-        .map(|mut session| thread::spawn(move || session.ask("WRITE a 1")))
+        .map(|mut session| thread::spawn(move || session.query("WRITE a 1")))
         .collect();
     for caller in callers {
         caller.join().unwrap();
@@ -86,12 +89,12 @@
     let (managed, proxies) = scarce();
     for proxy in &proxies {
         let mut session = caller(*proxy, "filing");
-        session.insist("WRITE a kept");
-        session.ask("BEGIN");
-        session.ask("WRITE a dropped");
+        session.query_until_done("WRITE a kept");
+        session.query("BEGIN");
+        session.query("WRITE a dropped");
         drop(session);
         let mut next = caller(*proxy, "filing");
-        assert_eq!(next.insist("READ a").lines[0], "ROW kept");
+        assert_eq!(next.query_until_done("READ a").lines[0], "ROW kept");
     }
     assert!(managed.log().iter().all(|entry| entry == "a=kept"));
 }
@@ -115,7 +118,7 @@
         .unwrap();
     let (proxy, address) = proxy_and_metrics(&managed, name);
     let mut session = caller(proxy, "filing");
-    session.insist("WRITE a 1");
+    session.query_until_done("WRITE a 1");
     let text = metrics(address).unwrap();
     assert!(!text.contains("pomelo_connections_opened_total{"), "{text}");
 }
--- a/crates/front/tests/env/mod.rs
+++ b/crates/front/tests/env/mod.rs
@@ -133,7 +133,7 @@
 
 /// What a caller was told.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Told {
+pub(crate) struct Reply {
     /// The id of the statement.
     pub(crate) id: String,
     /// All lines but the last.
@@ -142,7 +142,7 @@
     pub(crate) state: String,
 }
 
-impl Told {
+impl Reply {
     /// Whether the statement has a result.
     pub(crate) fn done(&self) -> bool {
         self.lines.last().is_some_and(|l| l.starts_with("DONE"))
@@ -198,22 +198,22 @@
     }
 
     /// Asks for a statement and waits for the whole answer.
-    pub(crate) fn ask(&mut self, text: &str) -> Told {
-        let told = self.try_ask(text);
+    pub(crate) fn query(&mut self, text: &str) -> Reply {
+        let told = self.try_query(text);
         told.unwrap_or_else(|| panic!("the session ended at {text:?}"))
     }
 
     /// The same; `None` when the answer does not come, and for all that is asked after that.
-    pub(crate) fn try_ask(&mut self, text: &str) -> Option<Told> {
+    pub(crate) fn try_query(&mut self, text: &str) -> Option<Reply> {
         if self.given_up {
             return None;
         }
-        let told = self.ask_once(text);
+        let told = self.query_once(text);
         self.given_up = told.is_none();
         told
     }
 
-    fn ask_once(&mut self, text: &str) -> Option<Told> {
+    fn query_once(&mut self, text: &str) -> Option<Reply> {
         let id = format!("{:08x}", IDS.fetch_add(1, Ordering::Relaxed));
         write!(self.writer, "QUERY {id} {text}\r\n").ok()?;
         let mut lines = Vec::new();
@@ -221,15 +221,15 @@
             let line = self.line()?;
             if let Some(rest) = line.strip_prefix("READY ") {
                 let state = rest.split(' ').next()?.to_owned();
-                return Some(Told { id, lines, state });
+                return Some(Reply { id, lines, state });
             }
             lines.push(line);
         }
     }
 
     /// Asks again and again until it is done.
-    pub(crate) fn insist(&mut self, text: &str) -> Told {
-        wait(|| Some(self.ask(text)).filter(Told::done))
+    pub(crate) fn query_until_done(&mut self, text: &str) -> Reply {
+        wait(|| Some(self.query(text)).filter(Reply::done))
     }
 }
 
--- a/crates/front/tests/logs.rs
+++ b/crates/front/tests/logs.rs
@@ -5,7 +5,7 @@
 use std::thread;
 use std::time::Duration;
 
-use front::logs::{Budget, Lines, MAX_WAITING};
+use front::logs::{LineBudget, LineBuffer, MAX_BUFFERED};
 use model::unit::Time;
 
 /// A reader that stops reading until it is told to go on.
@@ -32,14 +32,14 @@
 /// without waiting, memory stays bounded, and the log tells how many were left out.
 #[test]
 fn a_reader_that_stops_holds_nobody_up() {
-    let lines = Lines::default();
+    let lines = LineBuffer::default();
     let (go_on, rx) = mpsc::channel();
     let (written, out) = mpsc::channel();
     let writer = lines.clone();
     let stuck = Stuck { go_on: rx, written };
     let thread = thread::spawn(move || writer.write_out(stuck, Duration::ZERO));
     let line = [b'x'; 1_024];
-    let sent = MAX_WAITING / line.len() * 4;
+    let sent = MAX_BUFFERED / line.len() * 4;
     for _ in 0..sent {
         lines.take(&line);
     }
@@ -47,14 +47,14 @@
     lines.close();
     thread.join().unwrap().unwrap();
     let text: Vec<u8> = out.try_iter().flatten().collect();
-    assert!(text.len() < MAX_WAITING * 3);
+    assert!(text.len() < MAX_BUFFERED * 3);
     let text = String::from_utf8(text).unwrap();
     assert!(text.contains("lines were left out"));
 }
 
 #[test]
 fn what_waits_at_the_end_is_written() {
-    let lines = Lines::default();
+    let lines = LineBuffer::default();
     lines.take(b"level=info message=stopped\n");
     lines.close();
     let mut out = Vec::new();
@@ -66,7 +66,7 @@
 /// line that is written tells how many are missing.
 #[test]
 fn lines_about_served_statements_are_bounded() {
-    let budget = Budget::default();
+    let budget = LineBudget::default();
     let written = (0..5_000).filter(|_| budget.take(Time::from_millis(1_500)).is_some());
     let written = written.count();
     assert!((50..=200).contains(&written), "{written} lines");
--- a/crates/front/tests/path.rs
+++ b/crates/front/tests/path.rs
@@ -30,13 +30,13 @@
     let managed = platform();
     let proxy = proxy(&managed, "p1");
     let mut session = caller(proxy, "audit");
-    assert!(session.insist("WRITE item1 one").done());
-    let read = session.ask("READ item1");
+    assert!(session.query_until_done("WRITE item1 one").done());
+    let read = session.query("READ item1");
     assert_eq!(read.lines[0], "ROW one");
-    assert_eq!(session.ask("BEGIN").state, "T");
-    assert!(session.ask("WRITE item1 two").done());
-    assert!(session.ask("WRITE item2 two").done());
-    let commit = session.ask("COMMIT");
+    assert_eq!(session.query("BEGIN").state, "T");
+    assert!(session.query("WRITE item1 two").done());
+    assert!(session.query("WRITE item2 two").done());
+    let commit = session.query("COMMIT");
     assert!(commit.done() && commit.state == "I");
     assert_eq!(managed.log(), ["item1=one", "item1=two", "item2=two"]);
 }
@@ -45,11 +45,11 @@
 fn a_rolled_back_transaction_keeps_nothing() {
     let managed = platform();
     let mut session = caller(proxy(&managed, "p1"), "filing");
-    session.insist("WRITE a 1");
-    session.ask("BEGIN");
-    session.ask("WRITE a 2");
-    assert_eq!(session.ask("ROLLBACK").state, "I");
-    assert_eq!(session.ask("READ a").lines[0], "ROW 1");
+    session.query_until_done("WRITE a 1");
+    session.query("BEGIN");
+    session.query("WRITE a 2");
+    assert_eq!(session.query("ROLLBACK").state, "I");
+    assert_eq!(session.query("READ a").lines[0], "ROW 1");
 }
 
 /// Two sessions prepare different statements under one name and share the connections.
@@ -59,12 +59,12 @@
     let managed = platform();
     let proxy = proxy(&managed, "p1");
     let (mut one, mut two) = (caller(proxy, "filing"), caller(proxy, "filing"));
-    one.insist("WRITE k v0");
-    one.ask("PREPARE s1 WRITE q1");
-    two.ask("PREPARE s1 READ q2");
-    assert!(one.ask("EXEC s1 k v1").done());
-    assert_eq!(two.ask("EXEC s1 k").lines[0], "ROW v1");
-    assert_eq!(two.ask("EXEC s2 k").code(), Some("NOSTMT"));
+    one.query_until_done("WRITE k v0");
+    one.query("PREPARE s1 WRITE q1");
+    two.query("PREPARE s1 READ q2");
+    assert!(one.query("EXEC s1 k v1").done());
+    assert_eq!(two.query("EXEC s1 k").lines[0], "ROW v1");
+    assert_eq!(two.query("EXEC s2 k").code(), Some("NOSTMT"));
     assert_eq!(managed.log(), ["k=v0", "k=v1"]);
 }
 
@@ -79,9 +79,9 @@
 fn bad_statements_are_refused_and_the_session_goes_on() {
     let managed = platform();
     let mut session = caller(proxy(&managed, "p1"), "filing");
-    assert_eq!(session.ask("DROP everything").code(), Some("MALFORMED"));
-    assert_eq!(session.ask("COMMIT").code(), Some("MALFORMED"));
-    assert!(session.insist("WRITE a 1").done());
+    assert_eq!(session.query("DROP everything").code(), Some("MALFORMED"));
+    assert_eq!(session.query("COMMIT").code(), Some("MALFORMED"));
+    assert!(session.query_until_done("WRITE a 1").done());
 }
 
 /// A primary goes down. A caller sees refusals that promise that nothing ran, and then
@@ -92,12 +92,12 @@
 fn a_lost_primary_is_replaced(fault: Fault) {
     let managed = platform();
     let mut session = caller(proxy(&managed, "p1"), "filing");
-    session.insist("WRITE a before");
+    session.query_until_done("WRITE a before");
     managed.set_fault(managed.primary(), fault);
-    let after = session.insist("WRITE a after");
+    let after = session.query_until_done("WRITE a after");
     assert_eq!(managed.runs(&after.id), 1);
     assert_ne!(managed.primary(), 0);
-    assert_eq!(session.ask("READ a").lines[0], "ROW after");
+    assert_eq!(session.query("READ a").lines[0], "ROW after");
     assert_eq!(managed.log().first().unwrap(), "a=before");
 }
 
@@ -108,9 +108,9 @@
     let managed = platform();
     let (proxy, address) = proxy_and_metrics(&managed, "p1");
     let mut session = caller(proxy, "filing");
-    session.insist("WRITE a 1");
+    session.query_until_done("WRITE a 1");
     managed.set_fault(0, Fault::Down);
-    session.insist("WRITE a 2");
+    session.query_until_done("WRITE a 2");
     let change = "pomelo_primary_changes_total{";
     let text = wait(|| metrics(address).filter(|text| text.contains(change)));
     for line in [
@@ -131,9 +131,9 @@
     let managed = platform();
     managed.put("pomelo/coordinator", b"p1 00000000000000aa");
     let mut session = caller(proxy(&managed, "p1"), "filing");
-    session.insist("WRITE a 1");
+    session.query_until_done("WRITE a 1");
     managed.set_fault(managed.primary(), Fault::Down);
-    session.insist("WRITE a 2");
+    session.query_until_done("WRITE a 2");
     assert_eq!(managed.log(), ["a=1", "a=2"]);
 }
 
@@ -143,15 +143,15 @@
 fn a_replica_that_fell_behind_does_not_lead() {
     let managed = platform();
     let mut session = caller(proxy(&managed, "p1"), "filing");
-    session.insist("WRITE a 1");
+    session.query_until_done("WRITE a 1");
     managed.set_fault(1, Fault::Deaf);
-    session.insist("WRITE a 2");
+    session.query_until_done("WRITE a 2");
     managed.set_fault(0, Fault::Down);
     wait(|| (managed.primary() != 0).then_some(()));
     assert_eq!(managed.primary(), 2);
     // A write is acknowledged once a replica has it, and only this one is left.
     managed.set_fault(1, Fault::None);
-    session.insist("WRITE a 3");
+    session.query_until_done("WRITE a 3");
     assert_eq!(managed.log(), ["a=1", "a=2", "a=3"]);
 }
 
@@ -161,10 +161,10 @@
 fn a_leaving_primary_hands_over() {
     let managed = platform();
     let mut session = caller(proxy(&managed, "p1"), "filing");
-    session.insist("WRITE a 1");
+    session.query_until_done("WRITE a 1");
     managed.leave(0);
     wait(|| (managed.primary() != 0).then_some(()));
-    session.insist("WRITE a 2");
+    session.query_until_done("WRITE a 2");
     assert_eq!(managed.log(), ["a=1", "a=2"]);
 }
 
@@ -175,7 +175,7 @@
 fn an_order_that_is_carried_out_late_changes_nothing() {
     let managed = platform();
     let mut session = caller(proxy(&managed, "p1"), "filing");
-    session.insist("WRITE a 1");
+    session.query_until_done("WRITE a 1");
     managed.delay_next_order(Duration::from_secs(8));
     managed.set_fault(0, Fault::Dark);
     wait(|| {
@@ -187,7 +187,7 @@
     thread::sleep(Duration::from_millis(300));
     managed.set_fault(0, Fault::None);
     wait(|| (!managed.is_paused(1) && !managed.is_paused(2)).then_some(()));
-    session.insist("WRITE a 2");
+    session.query_until_done("WRITE a 2");
     let order = managed.orders().len();
     thread::sleep(Duration::from_secs(9));
     assert_eq!(managed.orders().len(), order, "{:?}", managed.orders());
@@ -202,16 +202,16 @@
 fn replicas_stay_stopped_while_an_order_is_carried_out() {
     let managed = platform();
     let mut session = caller(proxy(&managed, "p1"), "filing");
-    session.insist("WRITE a 1");
+    session.query_until_done("WRITE a 1");
     managed.set_promote_time(Duration::from_millis(1_200));
     managed.set_fault(0, Fault::Dark);
     wait(|| (!managed.orders().is_empty()).then_some(()));
     managed.set_fault(1, Fault::Deaf);
     managed.come_back_as(0, "i-back");
-    session.insist("WRITE a 2");
+    session.query_until_done("WRITE a 2");
     wait(|| (managed.primary() == 1).then_some(()));
     managed.set_fault(1, Fault::None);
-    session.insist("WRITE a 3");
+    session.query_until_done("WRITE a 3");
     assert_eq!(managed.log(), ["a=1", "a=2", "a=3"]);
 }
 
@@ -224,7 +224,7 @@
 fn an_order_that_overtakes_its_look_takes_no_write_back() {
     let managed = platform();
     let mut session = caller(proxy(&managed, "p1"), "filing");
-    session.insist("WRITE a 1");
+    session.query_until_done("WRITE a 1");
     managed.hold_orders(true);
     managed.set_fault(0, Fault::Dark);
     wait(|| (!managed.held_orders().is_empty()).then_some(()));
@@ -233,10 +233,10 @@
     managed.set_fault(0, Fault::Deaf);
     assert!(managed.carry_out_order());
     wait(|| (managed.primary() != 0).then_some(()));
-    session.insist("WRITE a 2");
+    session.query_until_done("WRITE a 2");
     carry_out_all(&managed);
     managed.set_fault(0, Fault::None);
-    session.insist("WRITE a 3");
+    session.query_until_done("WRITE a 3");
     assert_eq!(managed.log(), ["a=1", "a=2", "a=3"]);
 }
 
@@ -248,7 +248,7 @@
 fn an_order_without_an_answer_is_followed_by_none_for_another_instance() {
     let managed = platform_of(4);
     let mut session = caller(proxy(&managed, "p1"), "filing");
-    session.insist("WRITE a 1");
+    session.query_until_done("WRITE a 1");
     managed.hold_orders(true);
     managed.leave(0);
     let first = held_order(&managed);
@@ -262,10 +262,10 @@
     managed.set_fault(second, Fault::Deaf);
     assert!(managed.carry_out_order());
     wait(|| (managed.primary() == first).then_some(()));
-    session.insist("WRITE a 2");
+    session.query_until_done("WRITE a 2");
     carry_out_all(&managed);
     managed.set_fault(second, Fault::None);
-    session.insist("WRITE a 3");
+    session.query_until_done("WRITE a 3");
     assert_eq!(managed.log(), ["a=1", "a=2", "a=3"]);
 }
 
@@ -275,13 +275,13 @@
 fn nobody_is_named_beside_an_unreadable_note() {
     let managed = platform();
     let mut session = caller(proxy(&managed, "p1"), "filing");
-    session.insist("WRITE a 1");
+    session.query_until_done("WRITE a 1");
     managed.put("pomelo/order/ledger", b"no instance \xff");
     thread::sleep(Duration::from_millis(500));
     managed.leave(0);
     thread::sleep(Duration::from_secs(3));
     assert!(managed.orders().is_empty(), "{:?}", managed.orders());
-    assert!(session.insist("WRITE a 2").done());
+    assert!(session.query_until_done("WRITE a 2").done());
 }
 
 /// Guards against an order for the primary itself that is carried out late: told to stop leading
@@ -292,7 +292,7 @@
 fn a_primary_with_a_pending_order_is_not_replaced_before_that_is_void() {
     let managed = platform_of(4);
     let mut session = caller(proxy(&managed, "p1"), "filing");
-    session.insist("WRITE a 1");
+    session.query_until_done("WRITE a 1");
     managed.hold_orders(true);
     managed.leave(0);
     let next = held_order(&managed);
@@ -306,7 +306,7 @@
     assert!(others.iter().all(|(id, _)| *id == own), "{others:?}");
     carry_out_all(&managed);
     wait(|| (![0, next].contains(&managed.primary())).then_some(()));
-    session.insist("WRITE a 2");
+    session.query_until_done("WRITE a 2");
     assert_eq!(managed.log(), ["a=1", "a=2"]);
 }
 
@@ -316,7 +316,7 @@
 fn an_instance_that_starts_before_an_order_is_answered_is_stopped() {
     let managed = platform();
     let mut session = caller(proxy(&managed, "p1"), "filing");
-    session.insist("WRITE a 1");
+    session.query_until_done("WRITE a 1");
     managed.hold_orders(true);
     managed.leave(0);
     let next = held_order(&managed);
@@ -324,11 +324,11 @@
     managed.announce_at(newcomer, managed.instance_address(newcomer));
     thread::sleep(Duration::from_millis(500));
     managed.set_fault(next, Fault::Deaf);
-    let acknowledged = session.ask("WRITE a 2").done();
+    let acknowledged = session.query("WRITE a 2").done();
     assert!(managed.carry_out_order());
     carry_out_all(&managed);
     managed.set_fault(next, Fault::None);
-    session.insist("WRITE a 3");
+    session.query_until_done("WRITE a 3");
     let kept = managed.log().contains(&"a=2".to_owned());
     assert!(kept || !acknowledged, "{:?}", managed.log());
 }
@@ -371,7 +371,7 @@
     let managed = platform();
     let proxy = proxy(&managed, "p1");
     let mut session = caller(proxy, "filing");
-    session.insist("WRITE a 0");
+    session.query_until_done("WRITE a 0");
     managed.set_promote_time(Duration::from_millis(1_200));
     managed.set_fault(1, Fault::Deaf);
     managed.set_fault(2, Fault::Deaf);
@@ -379,7 +379,7 @@
         .map(|who| {
             thread::spawn(move || {
                 let mut session = caller(proxy, "filing");
-                let done = |n: &u32| session.ask(&format!("WRITE {who} {n}")).done();
+                let done = |n: &u32| session.query(&format!("WRITE {who} {n}")).done();
                 let kept: Vec<_> = (0..5).filter(done).collect();
                 kept.into_iter().map(move |n| format!("{who}={n}"))
             })
@@ -394,7 +394,7 @@
         .into_iter()
         .flat_map(|w| w.join().unwrap())
         .collect();
-    session.insist("WRITE a last");
+    session.query_until_done("WRITE a last");
     let log = managed.log();
     let lost: Vec<_> = done.iter().filter(|entry| !log.contains(entry)).collect();
     assert!(lost.is_empty(), "{lost:?} of {done:?}");
@@ -408,13 +408,16 @@
     let managed = platform();
     managed.configure(&with_connections(2, &DATABASES, 2));
     let first = proxy(&managed, "p1");
-    caller(first, "filing").insist("WRITE a 1");
-    caller(first, "lookup").insist("READ a");
+    caller(first, "filing").query_until_done("WRITE a 1");
+    caller(first, "lookup").query_until_done("READ a");
     managed.set_max_connections(1);
     let mut session = caller(proxy(&managed, "p2"), "filing");
-    session.insist("WRITE a 2");
-    assert_eq!(session.ask("READ a").lines[0], "ROW 2");
-    assert_eq!(caller(first, "filing").insist("READ a").lines[0], "ROW 2");
+    session.query_until_done("WRITE a 2");
+    assert_eq!(session.query("READ a").lines[0], "ROW 2");
+    assert_eq!(
+        caller(first, "filing").query_until_done("READ a").lines[0],
+        "ROW 2"
+    );
     assert_eq!(managed.log(), ["a=1", "a=2"]);
 }
 
@@ -426,17 +429,17 @@
     let managed = platform();
     let proxy = proxy(&managed, "p1");
     let (mut writer, mut reader) = (caller(proxy, "filing"), caller(proxy, "lookup"));
-    writer.insist("WRITE a 0");
+    writer.query_until_done("WRITE a 0");
     managed.set_fault(1, Fault::Lagging);
     managed.set_fault(2, Fault::Lagging);
     let mut n = 0;
     wait(|| {
         n += 1;
-        writer.insist(&format!("WRITE a {n}"));
-        reader.ask("READ a");
+        writer.query_until_done(&format!("WRITE a {n}"));
+        reader.query("READ a");
         (managed.primary() != 0).then_some(())
     });
-    writer.insist("WRITE a last");
+    writer.query_until_done("WRITE a last");
     assert_eq!(managed.log().len(), n + 2, "no write is lost");
     // One change is enough: the old primary does not lag.
     thread::sleep(Duration::from_secs(2));
@@ -454,7 +457,7 @@
     managed.pause(2, 2);
     let mut session = caller(proxy(&managed, "p1"), "filing");
     wait(|| (!managed.is_paused(1) && !managed.is_paused(2)).then_some(()));
-    session.insist("WRITE a 1");
+    session.query_until_done("WRITE a 1");
     // No order is pending, so none has to be made void.
     let orders = managed.orders();
     assert!(orders.is_empty(), "{orders:?}");
@@ -471,12 +474,12 @@
     managed.pause(1, 2);
     let mut session = caller(proxy(&managed, "p1"), "filing");
     wait(|| (!managed.keys("pomelo/resume/").is_empty()).then_some(()));
-    session.insist("WRITE a 1");
+    session.query_until_done("WRITE a 1");
     managed.set_fault(0, Fault::Dark);
     thread::sleep(Duration::from_secs(6));
     assert_eq!(managed.primary(), 0, "{:?}", managed.orders());
     managed.set_fault(0, Fault::None);
-    session.insist("WRITE a 2");
+    session.query_until_done("WRITE a 2");
     assert_eq!(managed.log(), ["a=1", "a=2"]);
 }
 
@@ -486,9 +489,9 @@
 fn a_write_whose_answer_is_lost_runs_once() {
     let managed = platform();
     let mut session = caller(proxy(&managed, "p1"), "filing");
-    session.insist("WRITE a 1");
+    session.query_until_done("WRITE a 1");
     managed.set_fault(0, Fault::LosesAnswers);
-    let lost = session.ask("WRITE a 2");
+    let lost = session.query("WRITE a 2");
     assert_eq!(lost.code(), Some("INDOUBT"));
     assert_eq!(managed.runs(&lost.id), 1);
 }
@@ -499,13 +502,13 @@
 fn a_read_without_an_answer_is_served_elsewhere() {
     let managed = platform();
     let proxy = proxy(&managed, "p1");
-    caller(proxy, "filing").insist("WRITE a 1");
+    caller(proxy, "filing").query_until_done("WRITE a 1");
     let mut session = caller(proxy, "lookup");
-    session.insist("READ a");
+    session.query_until_done("READ a");
     managed.set_fault(1, Fault::LosesAnswers);
     managed.set_fault(2, Fault::LosesAnswers);
     for _ in 0..4 {
-        assert_eq!(session.insist("READ a").lines[0], "ROW 1");
+        assert_eq!(session.query_until_done("READ a").lines[0], "ROW 1");
     }
 }
 
@@ -515,9 +518,9 @@
 fn a_refusal_for_want_of_capacity_is_true() {
     let managed = platform();
     let mut session = caller(proxy(&managed, "p1"), "filing");
-    session.insist("WRITE a 1");
+    session.query_until_done("WRITE a 1");
     managed.set_fault(0, Fault::Busy);
-    let refused = session.ask("WRITE a 2");
+    let refused = session.query("WRITE a 2");
     assert_eq!(refused.code(), Some("BUSY"));
     assert_eq!(managed.runs(&refused.id), 0);
 }
@@ -528,11 +531,11 @@
 fn a_session_reads_its_own_writes_while_replicas_lag() {
     let managed = platform();
     let mut session = caller(proxy(&managed, "p1"), "audit");
-    session.insist("WRITE a 0");
+    session.query_until_done("WRITE a 0");
     managed.set_fault(1, Fault::Deaf);
     for n in 1..20 {
-        session.insist(&format!("WRITE a {n}"));
-        let read = session.insist("READ a");
+        session.query_until_done(&format!("WRITE a {n}"));
+        let read = session.query_until_done("READ a");
         assert_eq!(read.lines[0], format!("ROW {n}"));
     }
 }
@@ -544,11 +547,11 @@
     let managed = platform();
     let proxy = proxy(&managed, "p1");
     let mut session = caller(proxy, "lookup");
-    session.insist("READ a");
+    session.query_until_done("READ a");
     let databases = [DATABASES[0], ("added", "bounded")];
     managed.configure(&configuration(2, &databases));
     wait(|| Caller::connect(proxy, "added").ok());
-    assert_eq!(session.ask("READ a").code(), Some("NODB"));
+    assert_eq!(session.query("READ a").code(), Some("NODB"));
 }
 
 /// The store is away. What is known stays in force, reads and writes go on, and when it
@@ -557,14 +560,14 @@
 fn callers_are_served_while_the_store_is_away() {
     let managed = platform();
     let mut session = caller(proxy(&managed, "p1"), "filing");
-    session.insist("WRITE a 1");
+    session.query_until_done("WRITE a 1");
     managed.set_store_fault(StoreFault::Away);
     for n in 2..6 {
-        assert!(session.ask(&format!("WRITE a {n}")).done());
+        assert!(session.query(&format!("WRITE a {n}")).done());
     }
     managed.set_store_fault(StoreFault::None);
     wait(|| (managed.keys("pomelo/proxy/").len() == 1).then_some(()));
-    assert!(session.ask("WRITE a 6").done());
+    assert!(session.query("WRITE a 6").done());
 }
 
 /// A proxy starts behind a narrow link, and the whole listing takes longer than one call
@@ -580,7 +583,7 @@
     let proxy = proxy(&managed, "p1");
     let mut session = wait(|| Caller::try_connect(proxy, "filing7"));
     managed.set_store_fault(StoreFault::None);
-    session.insist("WRITE a 1");
+    session.query_until_done("WRITE a 1");
 }
 
 /// Five proxies of one data centre, one of which reads the store.
@@ -598,7 +601,7 @@
     managed.configure(&configuration(2, &databases));
     for proxy in proxies {
         let mut session = wait(|| Caller::try_connect(*proxy, "added"));
-        session.insist("WRITE a 1");
+        session.query_until_done("WRITE a 1");
     }
 }
 
@@ -630,7 +633,7 @@
     managed.put("servers/i-bad", b"\xff\x00 not an entry");
     managed.put("servers/i-odd", br#"{"service":7,"state":"asleep"}"#);
     let mut session = caller(proxy(&managed, "p1"), "filing");
-    assert!(session.insist("WRITE a 1").done());
+    assert!(session.query_until_done("WRITE a 1").done());
 }
 
 /// Two proxies, and the one that coordinates is not the one with callers: doubts reach it
@@ -640,12 +643,12 @@
     let managed = platform();
     let (one, two) = (proxy(&managed, "p1"), proxy(&managed, "p2"));
     let (mut a, mut b) = (caller(one, "filing"), caller(two, "filing"));
-    a.insist("WRITE x 1");
-    b.insist("WRITE x 2");
+    a.query_until_done("WRITE x 1");
+    b.query_until_done("WRITE x 2");
     wait(|| (managed.keys("pomelo/proxy/").len() == 2).then_some(()));
     managed.set_fault(0, Fault::Down);
-    a.insist("WRITE x 3");
-    b.insist("WRITE x 4");
+    a.query_until_done("WRITE x 3");
+    b.query_until_done("WRITE x 4");
     let orders = managed.orders();
     assert!(orders.windows(2).all(|w| w[0].1 < w[1].1), "{orders:?}");
     assert_eq!(managed.log(), ["x=1", "x=2", "x=3", "x=4"]);
--- a/crates/front/tests/receipt.rs
+++ b/crates/front/tests/receipt.rs
@@ -24,12 +24,12 @@
     let managed = platform();
     let proxy = proxy(&managed, "p1");
     let mut session = Caller::connect(proxy, "filing").unwrap();
-    session.insist("WRITE a 1");
+    session.query_until_done("WRITE a 1");
     managed.set_fault(1, Fault::Deaf);
     managed.lapse(2);
     thread::sleep(FORGOTTEN);
-    assert_eq!(session.ask("WRITE a 2").code(), Some("INDOUBT"));
+    assert_eq!(session.query("WRITE a 2").code(), Some("INDOUBT"));
     managed.come_back(2);
-    session.insist("WRITE a 3");
+    session.query_until_done("WRITE a 3");
     assert_eq!(managed.log().last().unwrap(), "a=3");
 }
--- a/crates/front/tests/soak/callers.rs
+++ b/crates/front/tests/soak/callers.rs
@@ -7,7 +7,7 @@
 use rand::rngs::SmallRng;
 use rand::{Rng as _, SeedableRng as _};
 
-use crate::env::{Caller, Told};
+use crate::env::{Caller, Reply};
 use crate::oracle::{ACCEPTED_AGE, Oracle, Outcome};
 
 /// Refusals that promise that nothing of the statement is kept.
@@ -37,7 +37,7 @@
             let outcome = if rng.random_bool(0.3) {
                 write_in_transaction(&mut session, &item, n)
             } else {
-                outcome(session.try_ask(&format!("WRITE {item} {n}")))
+                outcome(session.try_query(&format!("WRITE {item} {n}")))
             };
             oracle.told(&item, n, outcome);
             if outcome == Outcome::Done {
@@ -54,19 +54,19 @@
 
 fn write_in_transaction(session: &mut Caller, item: &str, n: u64) -> Outcome {
     // Until the transaction's end was sent nothing of it can be kept.
-    let begun = session.try_ask("BEGIN").is_some_and(|told| told.done());
+    let begun = session.try_query("BEGIN").is_some_and(|told| told.done());
     let ran = begun
         && session
-            .try_ask(&format!("WRITE {item} {n}"))
+            .try_query(&format!("WRITE {item} {n}"))
             .is_some_and(|told| told.done());
     if ran {
-        return outcome(session.try_ask("COMMIT"));
+        return outcome(session.try_query("COMMIT"));
     }
-    session.try_ask("ROLLBACK");
+    session.try_query("ROLLBACK");
     Outcome::Refused
 }
 
-fn outcome(told: Option<Told>) -> Outcome {
+fn outcome(told: Option<Reply>) -> Outcome {
     match told {
         Some(told) if told.done() => Outcome::Done,
         Some(told) if told.code().is_some_and(|c| PROMISES.contains(&c)) => Outcome::Refused,
@@ -76,7 +76,7 @@
 
 /// A session must see its newest own write, or a later one. Says whether it goes on.
 fn read_back(session: &mut Caller, item: &str, newest: Option<u64>, oracle: &Oracle) -> bool {
-    let Some(told) = session.try_ask(&format!("READ {item}")) else {
+    let Some(told) = session.try_query(&format!("READ {item}")) else {
         return false;
     };
     check(oracle, &told, item, newest, "own write");
@@ -105,7 +105,7 @@
             };
             let before = Instant::now().checked_sub(age);
             let needed = before.and_then(|before| oracle.acknowledged(item, before));
-            let Some(told) = session.try_ask(&format!("READ {item}")) else {
+            let Some(told) = session.try_query(&format!("READ {item}")) else {
                 break;
             };
             check(oracle, &told, item, needed, database);
@@ -117,7 +117,7 @@
 /// A read sees what was acknowledged or something later. A write whose outcome is unknown
 /// may be carried out after a later one was acknowledged, so that an item may hold its
 /// number again.
-fn check(oracle: &Oracle, told: &Told, item: &str, needed: Option<u64>, why: &str) {
+fn check(oracle: &Oracle, told: &Reply, item: &str, needed: Option<u64>, why: &str) {
     let Some(needed) = needed.filter(|_| told.done()) else {
         return;
     };
--- a/crates/front/tests/soak/main.rs
+++ b/crates/front/tests/soak/main.rs
@@ -68,7 +68,7 @@
     for address in &straight {
         wait(|| {
             let mut session = Caller::try_connect(*address, "filing")?;
-            session.try_ask("WRITE last 1").filter(env::Told::done)
+            session.try_query("WRITE last 1").filter(env::Reply::done)
         });
         wait(|| Caller::try_connect(*address, &config::database(oracle.version())));
     }
--- a/crates/front/tests/stop.rs
+++ b/crates/front/tests/stop.rs
@@ -22,8 +22,8 @@
     let keys = || managed.keys("pomelo/");
     wait(|| (keys().len() == 2).then_some(()));
     let mut session = Caller::connect(proxy.listen, "filing").unwrap();
-    wait(|| Some(session.ask("BEGIN")).filter(env::Told::done));
-    session.ask("WRITE a 1");
+    wait(|| Some(session.query("BEGIN")).filter(env::Reply::done));
+    session.query("WRITE a 1");
     proxy.signal(Signal::TERM);
     wait(|| keys().is_empty().then_some(()));
     for _ in 0..25 {
