--- a/crates/front/src/cli.rs
+++ b/crates/front/src/cli.rs
@@ -8,15 +8,15 @@
 
 use crate::config::Config;
 
-/// What the command line asks for.
+/// Options of the command line.
 pub struct Options {
-    /// The settings, read.
+    /// The parsed settings file.
     pub config: Config,
-    /// Whether only to check the settings.
+    /// Whether to check the settings and exit.
     pub check: bool,
 }
 
-/// Describes the command line.
+/// Defines the command line.
 pub fn command() -> Command {
     Command::new("pomelo-front")
         .version(clap::crate_version!())
@@ -39,7 +39,7 @@
         )
 }
 
-/// Reads the command line and the settings.
+/// Parses the command line and reads the settings file.
 pub fn parse() -> miette::Result<Options> {
     let matches = command().get_matches();
     let path: &PathBuf = matches.get_one("config").expect("it has a default");
@@ -49,7 +49,7 @@
     })
 }
 
-/// Reads a settings file.
+/// Reads and parses a settings file.
 pub fn read(path: &Path) -> miette::Result<Config> {
     let name = path.display().to_string();
     let text = std::fs::read_to_string(path)
--- a/crates/front/src/clock.rs
+++ b/crates/front/src/clock.rs
@@ -1,4 +1,4 @@
-//! The process's clock.
+//! Monotonic clock of the process, including time in suspension.
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -10,11 +10,11 @@
     static START: Cell<Option<Duration>> = const { Cell::new(None) };
 }
 
-/// The present moment.
+/// The time since the first call on this thread.
 ///
-/// It counts the time for which the VM was suspended: a proof about a primary's log and a
-/// lease age all the while, and a clock that stands still would let a read pass as fresh
-/// that is seconds old.
+/// It includes the time for which the VM was suspended. Leases and proofs about a primary's
+/// log age during a suspension; with a clock that stops meanwhile, a read that is seconds old
+/// would pass as fresh.
 pub fn now() -> Time {
     let at = clock_gettime(ClockId::Boottime);
     let seconds = u64::try_from(at.tv_sec).unwrap_or_default();
@@ -26,10 +26,10 @@
     Time::from_micros(u64::try_from(since).unwrap_or(u64::MAX))
 }
 
-/// Waits until a moment, or not at all if it has passed.
+/// Sleeps until a moment; returns at once if it has passed.
 pub async fn sleep_until(at: Time) {
-    let left = at.since(now());
-    if left.as_micros() > 0 {
-        compio::time::sleep(left.as_duration()).await;
+    let remaining = at.since(now());
+    if remaining.as_micros() > 0 {
+        compio::time::sleep(remaining.as_duration()).await;
     }
 }
--- a/crates/front/src/lib.rs
+++ b/crates/front/src/lib.rs
@@ -1,8 +1,8 @@
 //! The proxy process on the operators' platform.
 //!
-//! Sessions carry statements out on connections that a task for each group lends; the
-//! directory follows the platform's store; one proxy at a time coordinates changes of
-//! primary. Decisions come from the `policy` crate.
+//! A session runs its caller's statements on connections that it checks out from the task of
+//! their group. The directory mirrors the platform's store. One proxy at a time is the
+//! coordinator and changes primaries. The `policy` crate makes the decisions.
 
 pub mod changes;
 pub mod cli;
--- a/crates/front/src/logs.rs
+++ b/crates/front/src/logs.rs
@@ -1,8 +1,8 @@
-//! Structured logs on standard output, bounded and never in a caller's way.
+//! Structured logs on standard output, with bounded memory and without blocking callers.
 //!
-//! Lines go into a buffer; a thread writes it out a few times a second. When nobody reads
-//! standard output the thread waits, the buffer fills, and further lines are counted
-//! instead of kept.
+//! Lines are added to a buffer that a thread writes out a few times a second. When nobody
+//! reads standard output, the thread blocks, the buffer fills, and further lines are dropped
+//! and counted.
 
 use std::cell::Cell;
 use std::io;
@@ -15,71 +15,71 @@
 use tracing_subscriber::layer::SubscriberExt as _;
 use tracing_subscriber::util::SubscriberInitExt as _;
 
-/// Bytes that wait at most: a few seconds of lines under full load.
+/// Most bytes in the buffer: a few seconds of lines under full load.
 pub const MAX_BUFFERED: usize = 256 << 10;
 
-/// Pause between two writes. Each costs a wake-up, so lines are gathered; a process that
-/// is killed loses no more than this.
-const PAUSE: Duration = Duration::from_millis(100);
+/// Pause between two writes. Each write costs a wake-up, so lines are batched; a killed
+/// process loses the lines of at most this time.
+const FLUSH_INTERVAL: Duration = Duration::from_millis(100);
 
 #[derive(Default)]
-struct Waiting {
+struct Buffer {
     bytes: Vec<u8>,
-    left_out: u64,
+    dropped: u64,
     closed: bool,
 }
 
 #[derive(Default)]
 struct Shared {
-    waiting: Mutex<Waiting>,
-    filled: Condvar,
+    buffer: Mutex<Buffer>,
+    not_empty: Condvar,
 }
 
-/// Takes lines for a writer that may be slow.
+/// Buffers lines for a writer that may be slow.
 #[derive(Clone, Default)]
 pub struct LineBuffer(Arc<Shared>);
 
 impl LineBuffer {
-    fn lock(&self) -> MutexGuard<'_, Waiting> {
-        let waiting = self.0.waiting.lock();
-        waiting.unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, Buffer> {
+        let buffer = self.0.buffer.lock();
+        buffer.unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes a line, or counts it if too much waits already.
-    pub fn take(&self, line: &[u8]) {
-        let mut waiting = self.lock();
-        if waiting.bytes.len() + line.len() > MAX_BUFFERED {
-            waiting.left_out += 1;
+    /// Adds a line, or drops and counts it if the buffer is full.
+    pub fn push(&self, line: &[u8]) {
+        let mut buffer = self.lock();
+        if buffer.bytes.len() + line.len() > MAX_BUFFERED {
+            buffer.dropped += 1;
             return;
         }
-        if waiting.bytes.is_empty() {
-            self.0.filled.notify_one();
+        if buffer.bytes.is_empty() {
+            self.0.not_empty.notify_one();
         }
-        waiting.bytes.extend_from_slice(line);
+        buffer.bytes.extend_from_slice(line);
     }
 
-    /// Writes lines out until [`Lines::close`], or until the writer fails.
+    /// Writes lines out until [`LineBuffer::close`], or until the writer fails.
     pub fn write_out(&self, mut out: impl io::Write, pause: Duration) -> io::Result<()> {
         loop {
-            let mut waiting = self.lock();
-            while waiting.bytes.is_empty() && !waiting.closed {
-                let woken = self.0.filled.wait(waiting);
-                waiting = woken.unwrap_or_else(PoisonError::into_inner);
+            let mut buffer = self.lock();
+            while buffer.bytes.is_empty() && !buffer.closed {
+                let woken = self.0.not_empty.wait(buffer);
+                buffer = woken.unwrap_or_else(PoisonError::into_inner);
             }
-            let closed = waiting.closed;
-            drop(waiting);
+            let closed = buffer.closed;
+            drop(buffer);
             if !closed {
                 thread::sleep(pause);
             }
-            let mut waiting = self.lock();
-            let bytes = std::mem::take(&mut waiting.bytes);
-            let left_out = std::mem::take(&mut waiting.left_out);
-            drop(waiting);
+            let mut buffer = self.lock();
+            let bytes = std::mem::take(&mut buffer.bytes);
+            let dropped = std::mem::take(&mut buffer.dropped);
+            drop(buffer);
             out.write_all(&bytes)?;
-            if left_out > 0 {
+            if dropped > 0 {
                 writeln!(
                     out,
-                    "level=warn message=\"lines were left out\" lines={left_out}"
+                    "level=warn message=\"lines were left out\" lines={dropped}"
                 )?;
             }
             out.flush()?;
@@ -89,16 +89,16 @@
         }
     }
 
-    /// Ends [`Lines::write_out`] once everything is written.
+    /// Makes [`LineBuffer::write_out`] return once everything is written.
     pub fn close(&self) {
         self.lock().closed = true;
-        self.0.filled.notify_one();
+        self.0.not_empty.notify_one();
     }
 }
 
 impl io::Write for LineBuffer {
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
-        self.take(line);
+        self.push(line);
         Ok(line.len())
     }
 
@@ -115,7 +115,7 @@
     }
 }
 
-/// Keeps the logs running; dropping it writes out what waits.
+/// Keeps the log writer running; dropping it writes out the buffered lines.
 pub struct Guard {
     lines: LineBuffer,
     thread: Option<thread::JoinHandle<()>>,
@@ -125,51 +125,51 @@
     fn drop(&mut self) {
         self.lines.close();
         if let Some(thread) = self.thread.take() {
-            // A writer that failed has nothing more to write.
+            // If the writer failed, the remaining lines cannot be written.
             let _ = thread.join();
         }
     }
 }
 
-/// Lines about served statements that a process writes in a second. Load: a node serves
-/// thousands of statements a second. Harm without it: logging costs more than serving, and
-/// what matters is left out when the buffer is full. Refused and failed ones are always
-/// written.
-const SERVED_LINES: u32 = 100;
+/// Most lines about served statements that a process logs in a second. A node serves
+/// thousands of statements a second; without this limit logging would cost more than serving,
+/// and important lines would be dropped when the buffer is full. Rejected and failed
+/// statements are always logged.
+const MAX_SERVED_LINES: u32 = 100;
 
-/// Bounds the lines about served statements.
+/// Limits the log lines about served statements.
 #[derive(Debug, Default)]
 pub struct LineBudget(Cell<Second>);
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Second {
-    begun: Time,
+    started: Time,
     lines: u32,
-    left_out: u64,
+    dropped: u64,
 }
 
 impl LineBudget {
-    /// Whether a line may be written: the number that was left out before it, or `None`.
+    /// Returns the number of lines dropped before this one if it may be written, else `None`.
     pub fn take(&self, now: Time) -> Option<u64> {
         let mut second = self.0.get();
-        if now.since(second.begun) >= Span::from_millis(1_000) {
-            second.begun = now;
+        if now.since(second.started) >= Span::from_millis(1_000) {
+            second.started = now;
             second.lines = 0;
         }
-        let written = second.lines < SERVED_LINES;
-        let left_out = if written {
+        let written = second.lines < MAX_SERVED_LINES;
+        let dropped = if written {
             second.lines += 1;
-            std::mem::take(&mut second.left_out)
+            std::mem::take(&mut second.dropped)
         } else {
-            second.left_out += 1;
+            second.dropped += 1;
             0
         };
         self.0.set(second);
-        written.then_some(left_out)
+        written.then_some(dropped)
     }
 }
 
-/// Sends the process's logs to standard output.
+/// Starts logging to standard output, with the level filter of the environment.
 pub fn start() -> io::Result<Guard> {
     let lines = LineBuffer::default();
     let layer = tracing_logfmt::builder()
@@ -186,8 +186,8 @@
     let writer = lines.clone();
     let thread = thread::Builder::new().name("logs".to_owned());
     let thread = thread.spawn(move || {
-        // Without standard output there is nowhere to tell why it failed.
-        let _ = writer.write_out(io::stdout(), PAUSE);
+        // If standard output fails, there is nowhere to report the error.
+        let _ = writer.write_out(io::stdout(), FLUSH_INTERVAL);
     })?;
     Ok(Guard {
         lines,
--- a/crates/front/src/metrics.rs
+++ b/crates/front/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics of one process, in the text form of Prometheus.
+//! Metrics of one process, in the Prometheus text format.
 
 use model::statement::Code;
 use model::unit::Span;
@@ -11,27 +11,29 @@
 };
 use store::calls::Calls;
 
-/// Upper bounds of statement times, in seconds: from one that the proxy answers itself to
-/// the longest time limit.
-const BUCKETS: [f64; 11] = [
+/// Upper bounds of the buckets for statement times, in seconds. The lowest fits statements
+/// that the proxy answers itself, the highest is the longest statement timeout.
+const STATEMENT_SECONDS_BUCKETS: [f64; 11] = [
     0.000_5, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.25, 0.5, 1.0, 3.0,
 ];
 
-/// Why metrics cannot be set up or shown.
+/// Why metrics cannot be registered or rendered.
 #[derive(Debug, thiserror::Error)]
-#[error("a metric cannot be used: {0}")]
+#[error("cannot register or render metrics: {0}")]
 pub struct MetricsError(#[from] prometheus::Error);
 
 /// How a change of primary ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Its order was given, and the ordered instance leads; that may be the old primary again.
+    /// A promotion order was sent and the instance that it names is primary; this may be the
+    /// old primary again.
     Led,
-    /// Its time was over.
+    /// It reached its time limit.
     TimedOut,
-    /// This proxy lost the duty.
+    /// This proxy lost the coordinator role.
     RoleLost,
-    /// Nothing was left to change: the primary is well, or another one led before an order.
+    /// No change was needed any more: the primary is healthy, or another instance became
+    /// primary before an order was sent.
     Abandoned,
 }
 
@@ -51,23 +53,23 @@
 pub struct Metrics {
     registry: Registry,
     statements: IntCounterVec,
-    took: Histogram,
-    opened: IntCounterVec,
+    statement_seconds: Histogram,
+    connections_opened: IntCounterVec,
     store_calls: IntGaugeVec,
     gauges: IntGaugeVec,
-    left_out: IntCounter,
+    lines_dropped: IntCounter,
     coordinator: Coordinator,
 }
 
-/// Counts what the coordinator did. A change of primary is rare, and its lines are long gone
-/// from the log when somebody asks.
+/// Counters of the coordinator. A change of primary is rare, and its log lines are no longer
+/// available when an operator investigates it.
 #[derive(Clone)]
 struct Coordinator {
     changes: IntCounterVec,
-    holds: IntCounterVec,
+    waits: IntCounterVec,
     orders: IntCounterVec,
-    orders_late: IntCounterVec,
-    replica_orders: IntCounterVec,
+    unexpected_primaries: IntCounterVec,
+    commands: IntCounterVec,
 }
 
 impl Coordinator {
@@ -79,7 +81,7 @@
                 "changes of primary that ended",
                 &["cause", "outcome"],
             )?,
-            holds: counter(
+            waits: counter(
                 "pomelo_change_holds_total",
                 "reasons for which a change of primary began to wait",
                 &["cause"],
@@ -89,12 +91,12 @@
                 "orders to the platform by answer",
                 &["purpose", "answer"],
             )?,
-            orders_late: counter(
+            unexpected_primaries: counter(
                 "pomelo_orders_late_total",
                 "primaries that the last order does not account for",
                 &["after"],
             )?,
-            replica_orders: counter(
+            commands: counter(
                 "pomelo_replica_orders_total",
                 "orders to instances by answer",
                 &["order", "answer"],
@@ -104,7 +106,7 @@
 }
 
 impl Metrics {
-    /// Metrics that count nothing yet.
+    /// Registers all metrics, with counters at zero.
     pub fn new() -> Result<Self, MetricsError> {
         let registry = Registry::new();
         let statements = counter(
@@ -113,11 +115,11 @@
             "statements by outcome",
             &["outcome"],
         )?;
-        let took = Histogram::with_opts(
+        let statement_seconds = Histogram::with_opts(
             HistogramOpts::new("pomelo_statement_seconds", "time of a statement")
-                .buckets(BUCKETS.to_vec()),
+                .buckets(STATEMENT_SECONDS_BUCKETS.to_vec()),
         )?;
-        let opened = counter(
+        let connections_opened = counter(
             &registry,
             "pomelo_connections_opened_total",
             "connections to instances",
@@ -131,79 +133,81 @@
             Opts::new("pomelo_state", "what the process holds and believes"),
             &["what"],
         )?;
-        let left_out = IntCounter::new(
+        let lines_dropped = IntCounter::new(
             "pomelo_log_lines_left_out_total",
             "lines about served statements beyond the bound",
         )?;
-        registry.register(Box::new(left_out.clone()))?;
-        registry.register(Box::new(took.clone()))?;
+        registry.register(Box::new(lines_dropped.clone()))?;
+        registry.register(Box::new(statement_seconds.clone()))?;
         registry.register(Box::new(store_calls.clone()))?;
         registry.register(Box::new(gauges.clone()))?;
         Ok(Self {
             coordinator: Coordinator::new(&registry)?,
             registry,
             statements,
-            took,
-            opened,
+            statement_seconds,
+            connections_opened,
             store_calls,
             gauges,
-            left_out,
+            lines_dropped,
         })
     }
 
-    /// A statement was answered.
+    /// Counts a statement by its outcome and records its time.
     pub fn statement_ended(&self, code: Option<Code>, took: Span) {
         let outcome = code.map_or("done", line::code_word);
         self.statements.with_label_values(&[outcome]).inc();
-        self.took.observe(took.as_duration().as_secs_f64());
+        self.statement_seconds
+            .observe(took.as_duration().as_secs_f64());
     }
 
-    /// A connection to an instance was opened, or could not be.
+    /// Counts an attempt to open a connection to an instance.
     pub fn connection_attempted(&self, ok: bool) {
         let outcome = if ok { "open" } else { "failed" };
-        self.opened.with_label_values(&[outcome]).inc();
+        self.connections_opened.with_label_values(&[outcome]).inc();
     }
 
-    /// A line about a served statement was left out of the log.
+    /// Counts a log line about a served statement that was dropped.
     pub fn line_dropped(&self) {
-        self.left_out.inc();
+        self.lines_dropped.inc();
     }
 
-    /// A change of primary ended; `cause` is the one that it began with.
+    /// Counts a change of primary that ended; `cause` is why it began.
     pub fn change_ended(&self, cause: Cause, outcome: Outcome) {
         let labels = [cause_name(cause), outcome.name()];
         self.coordinator.changes.with_label_values(&labels).inc();
     }
 
-    /// A change of primary waits, for another reason than before.
-    pub fn change_waits(&self, hold: WaitCause) {
-        let labels = [hold_name(hold)];
-        self.coordinator.holds.with_label_values(&labels).inc();
+    /// Counts a change of primary that begins to wait for a new reason.
+    pub fn change_waits(&self, cause: WaitCause) {
+        let labels = [wait_cause_name(cause)];
+        self.coordinator.waits.with_label_values(&labels).inc();
     }
 
-    /// The platform answered an order, or gave no answer that counts.
-    pub fn order_ended(&self, purpose: Purpose, answer: Option<OrderResponse>) {
-        let labels = [purpose_name(purpose), answer_name(answer)];
+    /// Counts a promotion order by the platform's response; `None` is no usable response.
+    pub fn order_ended(&self, purpose: Purpose, response: Option<OrderResponse>) {
+        let labels = [purpose_name(purpose), response_name(response)];
         self.coordinator.orders.with_label_values(&labels).inc();
     }
 
-    /// A primary leads that the last order, which was for `after`, does not account for.
-    pub fn unexpected_primary(&self, after: Option<Purpose>) {
-        let labels = [after.map_or("none", purpose_name)];
-        let late = &self.coordinator.orders_late;
-        late.with_label_values(&labels).inc();
+    /// Counts a primary that the last promotion order does not explain; `last_purpose` is what
+    /// that order was for.
+    pub fn unexpected_primary(&self, last_purpose: Option<Purpose>) {
+        let labels = [last_purpose.map_or("none", purpose_name)];
+        let unexpected = &self.coordinator.unexpected_primaries;
+        unexpected.with_label_values(&labels).inc();
     }
 
-    /// An instance was told something. Questions are not counted.
-    pub fn command_ended(&self, own: &Own<'_>, answered: bool) {
-        if let Some(order) = order_name(own) {
-            let labels = [order, if answered { "answered" } else { "none" }];
-            let told = &self.coordinator.replica_orders;
-            told.with_label_values(&labels).inc();
+    /// Counts a command to an instance; status queries and statements are not counted.
+    pub fn command_ended(&self, command: &Own<'_>, responded: bool) {
+        if let Some(name) = command_name(command) {
+            let labels = [name, if responded { "answered" } else { "none" }];
+            let commands = &self.coordinator.commands;
+            commands.with_label_values(&labels).inc();
         }
     }
 
-    /// Shows all metrics; `gauges` are values read just now.
+    /// Renders all metrics; `gauges` holds the present values of the state gauges.
     pub fn render(&self, calls: &Calls, gauges: &[(&str, u64)]) -> Result<String, MetricsError> {
         for (purpose, kind, count) in calls.by_purpose() {
             let count = i64::try_from(count).unwrap_or(i64::MAX);
@@ -221,7 +225,7 @@
     }
 }
 
-/// A counter that the registry shows.
+/// Creates a counter and registers it.
 fn counter(
     registry: &Registry,
     name: &str,
@@ -242,8 +246,8 @@
     }
 }
 
-const fn hold_name(hold: WaitCause) -> &'static str {
-    match hold {
+const fn wait_cause_name(cause: WaitCause) -> &'static str {
+    match cause {
         WaitCause::NoCandidate => "no_candidate",
         WaitCause::Unheard => "unheard",
         WaitCause::CatchingUp => "catching_up",
@@ -262,8 +266,8 @@
     }
 }
 
-const fn answer_name(answer: Option<OrderResponse>) -> &'static str {
-    match answer {
+const fn response_name(response: Option<OrderResponse>) -> &'static str {
+    match response {
         Some(OrderResponse::Accepted) => "accepted",
         Some(OrderResponse::Conflict) => "conflict",
         Some(OrderResponse::NotNow) => "not_now",
@@ -271,8 +275,8 @@
     }
 }
 
-const fn order_name(own: &Own<'_>) -> Option<&'static str> {
-    match own {
+const fn command_name(command: &Own<'_>) -> Option<&'static str> {
+    match command {
         Own::Pause(_) => Some("pause"),
         Own::Demote(_) => Some("demote"),
         Own::Resume => Some("resume"),
--- a/crates/front/src/pages.rs
+++ b/crates/front/src/pages.rs
@@ -1,4 +1,4 @@
-//! HTTP pages: whether callers may be sent here, and metrics.
+//! HTTP endpoints: readiness for the load balancer, and metrics.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -14,18 +14,18 @@
 
 use crate::cx::Cx;
 
-/// Path of the balancer's question.
+/// Path of the load balancer's readiness check.
 const READY: &str = "/ready";
 
 /// Path of the metrics.
 const METRICS: &str = "/metrics";
 
-/// Requests for metrics that wait at most.
-const QUEUE: usize = 16;
+/// Most requests for metrics that may wait.
+const MAX_WAITING_REQUESTS: usize = 16;
 
-/// Answers the balancer.
+/// Serves the readiness check.
 pub async fn serve_ready(listener: TcpListener, ready: Arc<AtomicBool>) {
-    let answer = move || {
+    let handler = move || {
         let ready = ready.load(Ordering::Relaxed);
         let code = if ready {
             StatusCode::OK
@@ -34,30 +34,30 @@
         };
         std::future::ready(code)
     };
-    let router = Router::new().route(READY, routing::get(answer));
+    let router = Router::new().route(READY, routing::get(handler));
     if let Err(e) = cyper_axum::serve(listener, router).await {
-        tracing::error!(cause = %e, "the balancer's listener failed");
+        tracing::error!(cause = %e, "the readiness listener failed");
     }
 }
 
-/// Serves the metrics. A process whose address is taken serves callers all the same.
+/// Serves the metrics. If the address cannot be bound, the process still serves callers.
 pub async fn serve_metrics(address: SocketAddr, cx: Rc<Cx>, store: Client) {
     let listener = match TcpListener::bind(address).await {
         Ok(listener) => listener,
         Err(e) => {
-            tracing::error!(%address, cause = %e, "metrics are not served");
+            tracing::error!(%address, cause = %e, "cannot bind the address of the metrics");
             return;
         }
     };
-    let (tx, rx) = flume::bounded::<flume::Sender<String>>(QUEUE);
+    let (tx, rx) = flume::bounded::<flume::Sender<String>>(MAX_WAITING_REQUESTS);
     compio::runtime::spawn(async move {
         while let Ok(reply) = rx.recv_async().await {
-            // Who asked may have gone.
-            let _ = reply.send(text(&cx, &store).await);
+            // The client may have disconnected.
+            let _ = reply.send(render(&cx, &store).await);
         }
     })
     .detach();
-    let answer = move || {
+    let handler = move || {
         let tx = tx.clone();
         async move {
             let (reply, text) = flume::bounded(1);
@@ -71,13 +71,14 @@
             }
         }
     };
-    let router = Router::new().route(METRICS, routing::get(answer));
+    let router = Router::new().route(METRICS, routing::get(handler));
     if let Err(e) = cyper_axum::serve(listener, router).await {
-        tracing::error!(cause = %e, "the metrics' listener failed");
+        tracing::error!(cause = %e, "the metrics listener failed");
     }
 }
 
-async fn text(cx: &Cx, store: &Client) -> String {
+/// Renders the metrics with the present values of the state gauges.
+async fn render(cx: &Cx, store: &Client) -> String {
     let (mut waiting, mut connections) = (0, 0);
     let concerns = cx.concerns.own();
     let doubts = concerns.values().filter(|c| c.doubt.is_some()).count();
@@ -98,7 +99,7 @@
     match cx.metrics.render(store.calls(), &gauges) {
         Ok(text) => text,
         Err(e) => {
-            tracing::error!(cause = %e, "metrics were not rendered");
+            tracing::error!(cause = %e, "cannot render the metrics");
             String::new()
         }
     }
--- a/crates/front/tests/logs.rs
+++ b/crates/front/tests/logs.rs
@@ -1,4 +1,4 @@
-//! Logs are bounded and never hold a caller up.
+//! Logging uses bounded memory and never blocks a caller.
 
 use std::io::{self, Write};
 use std::sync::mpsc;
@@ -8,15 +8,15 @@
 use front::logs::{LineBudget, LineBuffer, MAX_BUFFERED};
 use model::unit::Time;
 
-/// A reader that stops reading until it is told to go on.
-struct Stuck {
-    go_on: mpsc::Receiver<()>,
+/// A writer that blocks until it is resumed.
+struct BlockedWriter {
+    resume: mpsc::Receiver<()>,
     written: mpsc::Sender<Vec<u8>>,
 }
 
-impl Write for Stuck {
+impl Write for BlockedWriter {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        let _ = self.go_on.recv();
+        let _ = self.resume.recv();
         self.written
             .send(bytes.to_vec())
             .map_err(io::Error::other)?;
@@ -28,22 +28,25 @@
     }
 }
 
-/// Nobody reads standard output any more. Statements go on being served: lines are taken
-/// without waiting, memory stays bounded, and the log tells how many were left out.
+/// Guards against statements that wait for a blocked standard output. Lines are accepted
+/// without waiting, memory stays bounded, and the log reports how many lines were dropped.
 #[test]
-fn a_reader_that_stops_holds_nobody_up() {
+fn a_blocked_output_blocks_no_caller() {
     let lines = LineBuffer::default();
-    let (go_on, rx) = mpsc::channel();
+    let (resume, rx) = mpsc::channel();
     let (written, out) = mpsc::channel();
     let writer = lines.clone();
-    let stuck = Stuck { go_on: rx, written };
-    let thread = thread::spawn(move || writer.write_out(stuck, Duration::ZERO));
+    let blocked = BlockedWriter {
+        resume: rx,
+        written,
+    };
+    let thread = thread::spawn(move || writer.write_out(blocked, Duration::ZERO));
     let line = [b'x'; 1_024];
     let sent = MAX_BUFFERED / line.len() * 4;
     for _ in 0..sent {
-        lines.take(&line);
+        lines.push(&line);
     }
-    drop(go_on);
+    drop(resume);
     lines.close();
     thread.join().unwrap().unwrap();
     let text: Vec<u8> = out.try_iter().flatten().collect();
@@ -53,23 +56,23 @@
 }
 
 #[test]
-fn what_waits_at_the_end_is_written() {
+fn buffered_lines_are_written_on_close() {
     let lines = LineBuffer::default();
-    lines.take(b"level=info message=stopped\n");
+    lines.push(b"level=info message=stopped\n");
     lines.close();
     let mut out = Vec::new();
     lines.write_out(&mut out, Duration::ZERO).unwrap();
     assert_eq!(out, b"level=info message=stopped\n");
 }
 
-/// Thousands of statements are served in a second. Their lines are bounded, and the next
-/// line that is written tells how many are missing.
+/// With thousands of statements served in a second, the lines about them are limited, and the
+/// next line that is written reports how many were dropped.
 #[test]
-fn lines_about_served_statements_are_bounded() {
+fn lines_about_served_statements_are_limited() {
     let budget = LineBudget::default();
     let written = (0..5_000).filter(|_| budget.take(Time::from_millis(1_500)).is_some());
     let written = written.count();
     assert!((50..=200).contains(&written), "{written} lines");
-    let left_out = budget.take(Time::from_millis(2_600));
-    assert_eq!(left_out, Some(5_000 - written as u64));
+    let dropped = budget.take(Time::from_millis(2_600));
+    assert_eq!(dropped, Some(5_000 - written as u64));
 }
