--- a/crates/front/tests/env/mod.rs
+++ b/crates/front/tests/env/mod.rs
@@ -1,5 +1,5 @@
-//! A proxy before a stand-in of the platform, and callers that speak the line protocol.
-//! Each test binary uses its own part of it.
+//! Starts proxies on a simulated platform, and callers that use the line protocol. Each test
+//! binary uses a part of this module.
 #![allow(dead_code)]
 
 pub(crate) mod process;
@@ -14,23 +14,23 @@
 use serde_json::json;
 use standin::managed::Managed;
 
-/// Longest wait for something that must happen; a test that needs it has failed.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// Timeout for a condition that must become true; a test that reaches it has failed.
+const TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Longest wait of a caller that gives up; longer than a proxy is ever paused.
-const CALLER_LIMIT: Duration = Duration::from_secs(3);
+/// Response timeout of a caller of [`Caller::try_connect`]; longer than a test pauses a proxy.
+const CALLER_TIMEOUT: Duration = Duration::from_secs(3);
 
 static IDS: AtomicU64 = AtomicU64::new(1);
 
-/// Ports below those that the kernel gives to outgoing connections.
+/// Ports below the kernel's range for outgoing connections.
 const PORTS: std::ops::Range<u32> = 10_240..32_000;
 
 static NEXT_PORT: AtomicU32 = AtomicU32::new(0);
 
-/// A port that nobody uses. One that the kernel picks could be given to a connection of
-/// another test before the proxy listens on it; these are given to nobody, and each
-/// process begins elsewhere.
-fn free() -> SocketAddr {
+/// Returns an address with an unused port. A port that the kernel picks could be taken by an
+/// outgoing connection of another test before the proxy listens on it. The kernel never picks
+/// one of `PORTS`, and each process starts at another port.
+fn unused_address() -> SocketAddr {
     let first = std::process::id().wrapping_mul(97);
     loop {
         let next = NEXT_PORT.fetch_add(1, Ordering::Relaxed);
@@ -42,12 +42,12 @@
     }
 }
 
-/// The configuration of the tests: one group with 23 connections for each instance.
+/// A configuration with one group and 23 connections for each instance.
 pub(crate) fn configuration(version: u64, databases: &[(&str, &str)]) -> serde_json::Value {
     with_connections(version, databases, 23)
 }
 
-/// The same with another number of connections.
+/// [`configuration`] with another number of connections for each instance.
 pub(crate) fn with_connections(
     version: u64,
     databases: &[(&str, &str)],
@@ -69,24 +69,24 @@
     })
 }
 
-/// The databases that most tests use.
+/// Names and guarantees of the databases that most tests use.
 pub(crate) const DATABASES: [(&str, &str); 3] = [
     ("filing", "primary"),
     ("lookup", "bounded"),
     ("audit", "read_your_writes"),
 ];
 
-/// Settings of a proxy, and where it takes callers.
+/// Settings of a proxy, and the address on which it accepts callers.
 pub(crate) fn settings(managed: &Managed, name: &str) -> (serde_json::Value, SocketAddr) {
-    let listen = free();
+    let listen = unused_address();
     let settings = json!({
         "proxy": name,
         "data_centre": "dc-a",
         "data_centres": { "dc-a": "north" },
         "listen": listen.to_string(),
-        "ready_listen": free().to_string(),
-        "relay_listen": free().to_string(),
-        "metrics_listen": free().to_string(),
+        "ready_listen": unused_address().to_string(),
+        "relay_listen": unused_address().to_string(),
+        "metrics_listen": unused_address().to_string(),
         "store": managed.address().to_string(),
         "orders": managed.address().to_string(),
         "least_lease_ms": 1000,
@@ -96,12 +96,12 @@
     (settings, listen)
 }
 
-/// Starts a proxy that runs for as long as the test's process.
+/// Starts a proxy that runs until the test process exits; returns its address for callers.
 pub(crate) fn proxy(managed: &Managed, name: &str) -> SocketAddr {
     proxy_and_metrics(managed, name).0
 }
 
-/// The same, and where its metrics are.
+/// As [`proxy`]; also returns the address of its metrics.
 pub(crate) fn proxy_and_metrics(managed: &Managed, name: &str) -> (SocketAddr, SocketAddr) {
     let (settings, listen) = settings(managed, name);
     let config: Config = serde_json::from_value(settings).unwrap();
@@ -113,7 +113,7 @@
     (listen, metrics)
 }
 
-/// The metrics of a proxy.
+/// Fetches the metrics of a proxy.
 pub(crate) fn metrics(address: SocketAddr) -> Option<String> {
     let mut stream = TcpStream::connect(address).ok()?;
     let request = format!("GET /metrics HTTP/1.1\r\nhost: {address}\r\nconnection: close\r\n\r\n");
@@ -127,28 +127,29 @@
 pub(crate) struct Caller {
     reader: BufReader<TcpStream>,
     writer: TcpStream,
-    /// Whether an answer did not come: what comes later would be taken for the next one.
-    given_up: bool,
+    /// Whether a reply timed out. The session is not used after that, as a late reply would be
+    /// taken for the next one.
+    timed_out: bool,
 }
 
-/// What a caller was told.
+/// A reply to a query.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Reply {
     /// The id of the statement.
     pub(crate) id: String,
     /// All lines but the last.
     pub(crate) lines: Vec<String>,
-    /// State of the session.
+    /// State of the session: `I` is idle, `T` in a transaction.
     pub(crate) state: String,
 }
 
 impl Reply {
-    /// Whether the statement has a result.
+    /// Whether the statement succeeded.
     pub(crate) fn done(&self) -> bool {
         self.lines.last().is_some_and(|l| l.starts_with("DONE"))
     }
 
-    /// The code of its failure.
+    /// The error code, if it failed.
     pub(crate) fn code(&self) -> Option<&str> {
         let error = self.lines.last()?.strip_prefix("ERR ")?;
         error.split(' ').next()
@@ -156,14 +157,14 @@
 }
 
 impl Caller {
-    /// Opens a session; `Err` holds the refusal.
+    /// Opens a session; `Err` holds the error line.
     pub(crate) fn connect(proxy: SocketAddr, database: &str) -> Result<Self, String> {
         let stream = wait(|| TcpStream::connect(proxy).ok());
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(TIMEOUT)).unwrap();
         let mut caller = Self {
             reader: BufReader::new(stream.try_clone().unwrap()),
             writer: stream,
-            given_up: false,
+            timed_out: false,
         };
         let line = caller.exchange(&format!("START {database} me"));
         match line {
@@ -172,14 +173,14 @@
         }
     }
 
-    /// Opens a session if the proxy takes one now.
+    /// Opens a session if the proxy accepts one now.
     pub(crate) fn try_connect(proxy: SocketAddr, database: &str) -> Option<Self> {
         let stream = TcpStream::connect_timeout(&proxy, Duration::from_secs(1)).ok()?;
-        stream.set_read_timeout(Some(CALLER_LIMIT)).ok()?;
+        stream.set_read_timeout(Some(CALLER_TIMEOUT)).ok()?;
         let mut caller = Self {
             reader: BufReader::new(stream.try_clone().ok()?),
             writer: stream,
-            given_up: false,
+            timed_out: false,
         };
         let line = caller.exchange(&format!("START {database} me"))?;
         line.starts_with("READY I").then_some(caller)
@@ -190,27 +191,27 @@
         self.line()
     }
 
-    /// The next line; `None` when the session ended or says nothing.
+    /// Reads the next line; `None` if the session ended or the read timed out.
     fn line(&mut self) -> Option<String> {
         let mut line = String::new();
         let read = self.reader.read_line(&mut line).ok()?;
         (read > 0).then(|| line.trim_end().to_owned())
     }
 
-    /// Asks for a statement and waits for the whole answer.
+    /// Sends a statement and waits for the whole reply.
     pub(crate) fn query(&mut self, text: &str) -> Reply {
-        let told = self.try_query(text);
-        told.unwrap_or_else(|| panic!("the session ended at {text:?}"))
+        let reply = self.try_query(text);
+        reply.unwrap_or_else(|| panic!("the session ended at {text:?}"))
     }
 
-    /// The same; `None` when the answer does not come, and for all that is asked after that.
+    /// As [`Caller::query`]; `None` if no reply arrives, and for every query after that.
     pub(crate) fn try_query(&mut self, text: &str) -> Option<Reply> {
-        if self.given_up {
+        if self.timed_out {
             return None;
         }
-        let told = self.query_once(text);
-        self.given_up = told.is_none();
-        told
+        let reply = self.query_once(text);
+        self.timed_out = reply.is_none();
+        reply
     }
 
     fn query_once(&mut self, text: &str) -> Option<Reply> {
@@ -227,20 +228,20 @@
         }
     }
 
-    /// Asks again and again until it is done.
+    /// Repeats a statement until it succeeds.
     pub(crate) fn query_until_done(&mut self, text: &str) -> Reply {
         wait(|| Some(self.query(text)).filter(Reply::done))
     }
 }
 
-/// Waits until something is there.
-pub(crate) fn wait<T>(mut look: impl FnMut() -> Option<T>) -> T {
-    let end = Instant::now() + PATIENCE;
+/// Polls until `check` returns a value.
+pub(crate) fn wait<T>(mut check: impl FnMut() -> Option<T>) -> T {
+    let end = Instant::now() + TIMEOUT;
     loop {
-        if let Some(found) = look() {
+        if let Some(found) = check() {
             return found;
         }
-        assert!(Instant::now() < end, "waited in vain");
+        assert!(Instant::now() < end, "the condition was not met in time");
         thread::sleep(Duration::from_millis(10));
     }
 }
--- a/crates/front/tests/env/process.rs
+++ b/crates/front/tests/env/process.rs
@@ -1,4 +1,4 @@
-//! Proxies as processes of their own.
+//! Proxies that run as separate processes.
 
 use std::fs::File;
 use std::net::SocketAddr;
@@ -10,9 +10,9 @@
 
 use super::settings;
 
-/// A proxy process; ended when dropped.
+/// A proxy process; killed when dropped.
 pub(crate) struct Proxy {
-    /// Where it takes callers.
+    /// The address on which it accepts callers.
     pub(crate) listen: SocketAddr,
     file: PathBuf,
     log: PathBuf,
@@ -24,7 +24,7 @@
         Self::start_with(managed, folder, name, |_| {})
     }
 
-    /// Starts a process whose settings are changed first.
+    /// Starts a process with settings that `change` has modified.
     pub(crate) fn start_with(
         managed: &Managed,
         folder: &Path,
@@ -47,7 +47,7 @@
 
     pub(crate) fn signal(&self, signal: Signal) {
         let pid = Pid::from_child(&self.child);
-        // A process that has just ended needs no signal.
+        // Fails if the process has just exited, which is harmless.
         let _ = kill_process(pid, signal);
     }
 
--- a/crates/front/tests/path.rs
+++ b/crates/front/tests/path.rs
@@ -1,4 +1,4 @@
-//! The whole path on the platform's interfaces, against the stand-in.
+//! End-to-end tests of a proxy against the simulated platform.
 
 mod env;
 
@@ -52,8 +52,8 @@
     assert_eq!(session.query("READ a").lines[0], "ROW 1");
 }
 
-/// Two sessions prepare different statements under one name and share the connections.
-/// Each must run its own: under the wrong shape a read would become a write.
+/// Two sessions prepare different statements under one name on shared connections. Each must
+/// run its own: with the statement of the other session, a read would become a write.
 #[test]
 fn prepared_names_of_sessions_do_not_collide() {
     let managed = platform();
@@ -69,14 +69,14 @@
 }
 
 #[test]
-fn an_unknown_database_is_refused() {
+fn an_unknown_database_is_rejected() {
     let managed = platform();
-    let refused = Caller::connect(proxy(&managed, "p1"), "nothing").err();
-    assert!(refused.is_some_and(|line| line.starts_with("ERR NODB")));
+    let rejected = Caller::connect(proxy(&managed, "p1"), "nothing").err();
+    assert!(rejected.is_some_and(|line| line.starts_with("ERR NODB")));
 }
 
 #[test]
-fn bad_statements_are_refused_and_the_session_goes_on() {
+fn a_session_continues_after_malformed_statements() {
     let managed = platform();
     let mut session = caller(proxy(&managed, "p1"), "filing");
     assert_eq!(session.query("DROP everything").code(), Some("MALFORMED"));
@@ -84,12 +84,11 @@
     assert!(session.query_until_done("WRITE a 1").done());
 }
 
-/// A primary goes down. A caller sees refusals that promise that nothing ran, and then
-/// its write succeeds on the instance that the proxy had made primary; every write that
-/// was acknowledged before is still there.
+/// A primary fails. A caller receives errors that guarantee that nothing ran; then its write
+/// succeeds on the promoted instance. Every write acknowledged before is kept.
 #[test_case(Fault::Down; "down")]
 #[test_case(Fault::Dark; "dark")]
-fn a_lost_primary_is_replaced(fault: Fault) {
+fn a_failed_primary_is_replaced(fault: Fault) {
     let managed = platform();
     let mut session = caller(proxy(&managed, "p1"), "filing");
     session.query_until_done("WRITE a before");
@@ -101,10 +100,10 @@
     assert_eq!(managed.log().first().unwrap(), "a=before");
 }
 
-/// Lines about a change of primary are pushed out of the log within seconds. The counters
-/// still tell of one change that led, by one order, and that none came late.
+/// Log lines about a change of primary are displaced within seconds. The counters still show one
+/// completed change, one order, and no primary that the last order does not explain.
 #[test]
-fn counters_tell_of_a_change() {
+fn counters_report_a_change_of_primary() {
     let managed = platform();
     let (proxy, address) = proxy_and_metrics(&managed, "p1");
     let mut session = caller(proxy, "filing");
@@ -123,11 +122,11 @@
     assert!(!text.contains("pomelo_orders_late_total{"), "{text}");
 }
 
-/// The coordinator is killed and restarts while a primary is lost. Its key still holds the
-/// name of the earlier process, whose lease runs on: callers would see no writes until it
-/// lapses. The new process knows that the earlier one has ended and takes the key over.
+/// A coordinator is killed and restarts, then the primary fails. Its key still names the earlier
+/// process, whose lease is still valid: no write would succeed until the lease expires. The new
+/// process knows that the earlier one has exited and takes over the coordinator lease.
 #[test]
-fn a_restarted_coordinator_takes_its_duty_over() {
+fn a_restarted_coordinator_takes_over_its_lease() {
     let managed = platform();
     managed.put("pomelo/coordinator", b"p1 00000000000000aa");
     let mut session = caller(proxy(&managed, "p1"), "filing");
@@ -137,10 +136,10 @@
     assert_eq!(managed.log(), ["a=1", "a=2"]);
 }
 
-/// One replica has received nothing for a while when the primary goes down. The other one
-/// holds the acknowledged write and must be named, although either could lead.
+/// One replica has received nothing for a while when the primary fails. The other replica holds
+/// the acknowledged write and must be promoted, although either one could be.
 #[test]
-fn a_replica_that_fell_behind_does_not_lead() {
+fn a_replica_that_fell_behind_is_not_promoted() {
     let managed = platform();
     let mut session = caller(proxy(&managed, "p1"), "filing");
     session.query_until_done("WRITE a 1");
@@ -149,16 +148,16 @@
     managed.set_fault(0, Fault::Down);
     wait(|| (managed.primary() != 0).then_some(()));
     assert_eq!(managed.primary(), 2);
-    // A write is acknowledged once a replica has it, and only this one is left.
+    // A write is acknowledged once a replica has it, and instance 1 is the only replica left.
     managed.set_fault(1, Fault::None);
     session.query_until_done("WRITE a 3");
     assert_eq!(managed.log(), ["a=1", "a=2", "a=3"]);
 }
 
-/// A primary says that it leaves. It goes on serving, and another one is made primary
-/// before it goes; replicas that were stopped receive again.
+/// A primary announces that it is being decommissioned. It still serves until another instance
+/// is promoted; the paused replicas are resumed.
 #[test]
-fn a_leaving_primary_hands_over() {
+fn a_leaving_primary_is_replaced() {
     let managed = platform();
     let mut session = caller(proxy(&managed, "p1"), "filing");
     session.query_until_done("WRITE a 1");
@@ -168,11 +167,11 @@
     assert_eq!(managed.log(), ["a=1", "a=2"]);
 }
 
-/// A primary goes dark, the order to name another one has no answer, and the primary comes
-/// back. The first order is carried out seconds later: it would take writes back that were
-/// acknowledged meanwhile, so the change is completed by a second one, which makes it refused.
+/// A primary stops responding, the promotion order for another instance gets no response, and the
+/// primary recovers. Executed seconds later, the order would undo writes acknowledged meanwhile.
+/// A second order completes the change and makes the platform refuse the first.
 #[test]
-fn an_order_that_is_carried_out_late_changes_nothing() {
+fn an_order_executed_late_changes_nothing() {
     let managed = platform();
     let mut session = caller(proxy(&managed, "p1"), "filing");
     session.query_until_done("WRITE a 1");
@@ -194,12 +193,11 @@
     assert_eq!(managed.log(), ["a=1", "a=2"]);
 }
 
-/// A primary goes dark, and the platform takes a second to carry the accepted order out.
-/// Meanwhile the old primary is back under another id. The stopped replica was told to
-/// receive again, acknowledged a write, and the order then made an instance lead that
-/// lacked it: the caller had its write acknowledged and lost.
+/// Guards against a lost acknowledged write. A primary stops responding, the platform takes a
+/// second to execute the accepted order, and the old primary returns under another id. If the
+/// paused replica is resumed now, it acknowledges a write that the promoted instance lacks.
 #[test]
-fn replicas_stay_stopped_while_an_order_is_carried_out() {
+fn replicas_stay_paused_while_an_order_is_executed() {
     let managed = platform();
     let mut session = caller(proxy(&managed, "p1"), "filing");
     session.query_until_done("WRITE a 1");
@@ -215,13 +213,13 @@
     assert_eq!(managed.log(), ["a=1", "a=2", "a=3"]);
 }
 
-/// Guards against an acknowledged write that an order takes back which was meant to change
-/// nothing. A primary goes dark, an order to replace it has no answer, and the primary is
-/// back. The replicas are to receive again, so the primary is ordered once more, to make the
-/// platform refuse the first order; but the first is carried out just before. The next
-/// primary acknowledges a write, and the second order makes the old one lead without it.
+/// Guards against an order that should change nothing and undoes an acknowledged write. A primary
+/// stops responding, a promotion order gets no response, and the primary recovers. Before the
+/// replicas are resumed, the primary is ordered again so that the platform refuses the first
+/// order; but the first is executed just before. The new primary acknowledges a write, and the
+/// second order would promote the old one without it.
 #[test]
-fn an_order_that_overtakes_its_look_takes_no_write_back() {
+fn an_order_based_on_an_outdated_survey_undoes_no_write() {
     let managed = platform();
     let mut session = caller(proxy(&managed, "p1"), "filing");
     session.query_until_done("WRITE a 1");
@@ -234,18 +232,18 @@
     assert!(managed.carry_out_order());
     wait(|| (managed.primary() != 0).then_some(()));
     session.query_until_done("WRITE a 2");
-    carry_out_all(&managed);
+    execute_held_orders(&managed);
     managed.set_fault(0, Fault::None);
     session.query_until_done("WRITE a 3");
     assert_eq!(managed.log(), ["a=1", "a=2", "a=3"]);
 }
 
-/// Guards against an acknowledged write that is lost between two orders that name different
-/// instances. The first has no answer and its instance goes down; another one is named while
-/// the rest is stopped, which is right. Then the first instance is back and its order is
-/// carried out: all replicas receive again, and a write is acknowledged that the second lacks.
+/// Guards against a write lost between two orders for different instances. The first order gets
+/// no response and its instance fails; another instance is ordered while the rest is paused,
+/// which is correct. Then the first instance returns and its order is executed: all replicas are
+/// resumed and a write is acknowledged that the second instance lacks.
 #[test]
-fn an_order_without_an_answer_is_followed_by_none_for_another_instance() {
+fn an_unanswered_order_is_followed_by_none_for_another_instance() {
     let managed = platform_of(4);
     let mut session = caller(proxy(&managed, "p1"), "filing");
     session.query_until_done("WRITE a 1");
@@ -257,22 +255,22 @@
     wait_for_orders(&managed, 2);
     managed.come_back(first);
     let orders = managed.held_orders();
-    let second = orders.iter().map(named).find(|n| *n != first);
+    let second = orders.iter().map(ordered_instance).find(|n| *n != first);
     let second = second.unwrap_or(first % 3 + 1);
     managed.set_fault(second, Fault::Deaf);
     assert!(managed.carry_out_order());
     wait(|| (managed.primary() == first).then_some(()));
     session.query_until_done("WRITE a 2");
-    carry_out_all(&managed);
+    execute_held_orders(&managed);
     managed.set_fault(second, Fault::None);
     session.query_until_done("WRITE a 3");
     assert_eq!(managed.log(), ["a=1", "a=2", "a=3"]);
 }
 
-/// Guards against a change of primary beside an order whose note cannot be read: it may name any
-/// instance, so nobody is named until it lapses.
+/// Guards against a change of primary while a recorded intent is unreadable: its order may name
+/// any instance, so no instance is ordered until the intent expires.
 #[test]
-fn nobody_is_named_beside_an_unreadable_note() {
+fn no_instance_is_ordered_beside_an_unreadable_intent() {
     let managed = platform();
     let mut session = caller(proxy(&managed, "p1"), "filing");
     session.query_until_done("WRITE a 1");
@@ -284,12 +282,12 @@
     assert!(session.query_until_done("WRITE a 2").done());
 }
 
-/// Guards against an order for the primary itself that is carried out late: told to stop leading
-/// meanwhile, it would lead again between another order and its effect, and acknowledge what the
-/// other instance lacks. So it is not told to stop, and no other is named, before the platform
-/// has taken a newer order for it.
+/// Guards against a late order for the primary itself. If the primary was demoted meanwhile, the
+/// order would make it lead again between another order and its effect, and it would acknowledge
+/// writes that the other instance lacks. So it is not demoted and no other instance is ordered
+/// before the platform has accepted a newer order for it.
 #[test]
-fn a_primary_with_a_pending_order_is_not_replaced_before_that_is_void() {
+fn a_primary_with_a_pending_order_is_not_replaced_before_it_is_void() {
     let managed = platform_of(4);
     let mut session = caller(proxy(&managed, "p1"), "filing");
     session.query_until_done("WRITE a 1");
@@ -304,57 +302,57 @@
     let others = managed.held_orders();
     let own = format!("i-{next}");
     assert!(others.iter().all(|(id, _)| *id == own), "{others:?}");
-    carry_out_all(&managed);
+    execute_held_orders(&managed);
     wait(|| (![0, next].contains(&managed.primary())).then_some(()));
     session.query_until_done("WRITE a 2");
     assert_eq!(managed.log(), ["a=1", "a=2"]);
 }
 
-/// Guards against an instance that starts while an order has no answer yet, and goes on
-/// receiving from the old primary until the answer comes or is given up.
+/// Guards against an instance that starts while an order has no response yet, and receives from
+/// the old primary until the response arrives or the order times out.
 #[test]
-fn an_instance_that_starts_before_an_order_is_answered_is_stopped() {
+fn an_instance_that_starts_during_an_order_is_paused() {
     let managed = platform();
     let mut session = caller(proxy(&managed, "p1"), "filing");
     session.query_until_done("WRITE a 1");
     managed.hold_orders(true);
     managed.leave(0);
     let next = held_order(&managed);
-    let newcomer = managed.join().unwrap();
-    managed.announce_at(newcomer, managed.instance_address(newcomer));
+    let new_instance = managed.join().unwrap();
+    managed.announce_at(new_instance, managed.instance_address(new_instance));
     thread::sleep(Duration::from_millis(500));
     managed.set_fault(next, Fault::Deaf);
     let acknowledged = session.query("WRITE a 2").done();
     assert!(managed.carry_out_order());
-    carry_out_all(&managed);
+    execute_held_orders(&managed);
     managed.set_fault(next, Fault::None);
     session.query_until_done("WRITE a 3");
     let kept = managed.log().contains(&"a=2".to_owned());
     assert!(kept || !acknowledged, "{:?}", managed.log());
 }
 
-/// Waits for the first order that is held; gives the replica that it names.
+/// Waits for the first held order and returns the replica that it names.
 fn held_order(managed: &Managed) -> usize {
     let order = wait(|| managed.held_orders().first().cloned());
-    named(&order)
+    ordered_instance(&order)
 }
 
 /// The instance that an order names.
-fn named(order: &(String, u64)) -> usize {
+fn ordered_instance(order: &(String, u64)) -> usize {
     let number = order.0.strip_prefix("i-");
     number.and_then(|n| n.parse().ok()).unwrap()
 }
 
-/// Waits until so many orders are held, or until no further one can be expected.
-fn wait_for_orders(managed: &Managed, orders: usize) {
+/// Waits until `count` orders are held, or for 8 seconds if no further order is sent.
+fn wait_for_orders(managed: &Managed, count: usize) {
     let end = Instant::now() + Duration::from_secs(8);
-    while managed.held_orders().len() < orders && Instant::now() < end {
+    while managed.held_orders().len() < count && Instant::now() < end {
         thread::sleep(Duration::from_millis(10));
     }
 }
 
-/// Carries out all orders that are held, and lets the group settle.
-fn carry_out_all(managed: &Managed) {
+/// Executes all held orders and waits for the group to settle.
+fn execute_held_orders(managed: &Managed) {
     managed.hold_orders(false);
     while !managed.held_orders().is_empty() {
         managed.carry_out_order();
@@ -362,10 +360,10 @@
     thread::sleep(Duration::from_millis(500));
 }
 
-/// A primary is cut off from its replicas, so its writes do not end, and it is replaced.
-/// While the order is carried out an instance starts: it receives the old primary's log
-/// before anybody knows of it, and a write was acknowledged that the next primary lacked.
-/// The old primary is told to stop before the order is given.
+/// A primary is partitioned from its replicas, so its writes stall and it is replaced. While the
+/// order is executed, an instance starts and receives the old primary's log before any proxy
+/// knows of it: it would acknowledge a write that the next primary lacks. So the old primary is
+/// demoted before the order is sent.
 #[test]
 fn an_instance_that_starts_during_a_change_acknowledges_nothing() {
     let managed = platform();
@@ -376,12 +374,12 @@
     managed.set_fault(1, Fault::Deaf);
     managed.set_fault(2, Fault::Deaf);
     let writers: Vec<_> = (0..4)
-        .map(|who| {
+        .map(|writer| {
             thread::spawn(move || {
                 let mut session = caller(proxy, "filing");
-                let done = |n: &u32| session.query(&format!("WRITE {who} {n}")).done();
+                let done = |n: &u32| session.query(&format!("WRITE {writer} {n}")).done();
                 let kept: Vec<_> = (0..5).filter(done).collect();
-                kept.into_iter().map(move |n| format!("{who}={n}"))
+                kept.into_iter().map(move |n| format!("{writer}={n}"))
             })
         })
         .collect();
@@ -400,9 +398,8 @@
     assert!(lost.is_empty(), "{lost:?} of {done:?}");
 }
 
-/// Instances have no connection left: one proxy holds them, and another that starts gets
-/// none. Its callers are served through the first one, at once and not when a connection
-/// comes free.
+/// One proxy holds all connections of the instances, and another proxy that starts gets none.
+/// Its callers are served through the first proxy, without waiting for a free connection.
 #[test]
 fn a_proxy_without_connections_serves_through_another() {
     let managed = platform();
@@ -421,11 +418,11 @@
     assert_eq!(managed.log(), ["a=1", "a=2"]);
 }
 
-/// Both replicas apply the log late, and go on doing so. All reads went to the primary, and
-/// a third of them were refused for twenty seconds. One of the replicas is made primary:
-/// it has received everything, and the old primary serves reads as a replica.
+/// Guards against a primary that serves all reads while both replicas apply the log late: a third
+/// of the reads were rejected for twenty seconds. One of the replicas is promoted, as it has
+/// received everything, and the old primary serves reads as a replica.
 #[test]
-fn replicas_that_all_lag_get_another_primary() {
+fn the_primary_changes_when_all_replicas_lag() {
     let managed = platform();
     let proxy = proxy(&managed, "p1");
     let (mut writer, mut reader) = (caller(proxy, "filing"), caller(proxy, "lookup"));
@@ -443,32 +440,32 @@
     assert_eq!(managed.log().len(), n + 2, "no write is lost");
     // One change is enough: the old primary does not lag.
     thread::sleep(Duration::from_secs(2));
-    let named: Vec<_> = managed.orders().iter().map(|(id, _)| id.clone()).collect();
-    assert_eq!(named.len(), 1, "{named:?}");
+    let ordered: Vec<_> = managed.orders().iter().map(|(id, _)| id.clone()).collect();
+    assert_eq!(ordered.len(), 1, "{ordered:?}");
 }
 
-/// A coordinator stops both replicas from receiving and dies before it names a primary.
-/// Writes would stall for good, as no replica acknowledges them; the next coordinator
-/// finds the replicas stopped and lets them receive again.
+/// A coordinator pauses both replicas and fails before it orders a promotion. No replica would
+/// acknowledge writes, which would stall forever; the next coordinator finds the replicas paused
+/// and resumes them.
 #[test]
-fn replicas_that_were_left_stopped_receive_again() {
+fn replicas_that_were_left_paused_are_resumed() {
     let managed = platform();
     managed.pause(1, 2);
     managed.pause(2, 2);
     let mut session = caller(proxy(&managed, "p1"), "filing");
     wait(|| (!managed.is_paused(1) && !managed.is_paused(2)).then_some(()));
     session.query_until_done("WRITE a 1");
-    // No order is pending, so none has to be made void.
+    // No order is pending, so no order is needed to void one.
     let orders = managed.orders();
     assert!(orders.is_empty(), "{orders:?}");
 }
 
-/// An order to receive again has no answer. The primary goes dark right after it, while
-/// the order may still be carried out: the replica would then receive from the old primary
-/// and acknowledge what the next one lacks. So nobody is named as long as the old primary
-/// is silent; it comes back, and every acknowledged write is kept.
+/// A resume command gets no response, and the primary stops responding right after it. The
+/// command may still take effect: the replica would receive from the old primary and acknowledge
+/// writes that the next one lacks. So no instance is promoted while the old primary is
+/// unresponsive; it recovers, and every acknowledged write is kept.
 #[test]
-fn nobody_is_named_while_an_order_to_receive_is_pending() {
+fn no_instance_is_promoted_while_a_resume_command_is_pending() {
     let managed = platform();
     managed.delay_next_statement("RESUME", Duration::from_secs(4));
     managed.pause(1, 2);
@@ -483,10 +480,10 @@
     assert_eq!(managed.log(), ["a=1", "a=2"]);
 }
 
-/// The answer to a write is lost. The caller is told that the outcome is open, and the
-/// write is not sent again: a payment would be taken twice.
+/// The response to a write is lost. The caller gets INDOUBT, and the write is not retried, as a
+/// payment would be made twice.
 #[test]
-fn a_write_whose_answer_is_lost_runs_once() {
+fn a_write_whose_response_is_lost_runs_once() {
     let managed = platform();
     let mut session = caller(proxy(&managed, "p1"), "filing");
     session.query_until_done("WRITE a 1");
@@ -496,10 +493,10 @@
     assert_eq!(managed.runs(&lost.id), 1);
 }
 
-/// A replica loses the answers to reads. Callers do not wait for their whole time limit:
-/// the read is tried on another instance while the first one has no answer.
+/// Responses of both replicas to reads are lost. Callers do not wait for their whole timeout: the
+/// read is tried on another instance while the first response is still missing.
 #[test]
-fn a_read_without_an_answer_is_served_elsewhere() {
+fn a_read_without_a_response_is_retried_on_another_instance() {
     let managed = platform();
     let proxy = proxy(&managed, "p1");
     caller(proxy, "filing").query_until_done("WRITE a 1");
@@ -512,21 +509,21 @@
     }
 }
 
-/// Instances refuse statements for want of a slot. The caller is told in time, with a
-/// hint, and the promise that nothing ran is true.
+/// An instance refuses statements because it has no free slot. The caller gets BUSY with a retry
+/// hint before its timeout, and the statement did not run.
 #[test]
-fn a_refusal_for_want_of_capacity_is_true() {
+fn a_statement_rejected_for_capacity_did_not_run() {
     let managed = platform();
     let mut session = caller(proxy(&managed, "p1"), "filing");
     session.query_until_done("WRITE a 1");
     managed.set_fault(0, Fault::Busy);
-    let refused = session.query("WRITE a 2");
-    assert_eq!(refused.code(), Some("BUSY"));
-    assert_eq!(managed.runs(&refused.id), 0);
+    let rejected = session.query("WRITE a 2");
+    assert_eq!(rejected.code(), Some("BUSY"));
+    assert_eq!(managed.runs(&rejected.id), 0);
 }
 
-/// A session writes on one instance and reads on another that has not received the write.
-/// Old data would close a legal kiosk; the read goes to an instance that has it.
+/// A session writes on one instance, and another has not received the write. The read goes to
+/// an instance that has it: with old data, a legal kiosk would be closed.
 #[test]
 fn a_session_reads_its_own_writes_while_replicas_lag() {
     let managed = platform();
@@ -540,10 +537,10 @@
     }
 }
 
-/// The configuration gains a database and loses one. Both are in force without a restart,
-/// also for sessions that are open.
+/// A database is added to the configuration and others are removed. Both take effect without a
+/// restart, also for open sessions.
 #[test]
-fn a_change_of_the_configuration_comes_into_force() {
+fn a_change_of_the_configuration_takes_effect() {
     let managed = platform();
     let proxy = proxy(&managed, "p1");
     let mut session = caller(proxy, "lookup");
@@ -554,10 +551,10 @@
     assert_eq!(session.query("READ a").code(), Some("NODB"));
 }
 
-/// The store is away. What is known stays in force, reads and writes go on, and when it
-/// is back the proxy takes its place again.
+/// The store is unavailable. The last known state stays in force, reads and writes continue, and when
+/// the store is back the proxy registers again.
 #[test]
-fn callers_are_served_while_the_store_is_away() {
+fn callers_are_served_while_the_store_is_unavailable() {
     let managed = platform();
     let mut session = caller(proxy(&managed, "p1"), "filing");
     session.query_until_done("WRITE a 1");
@@ -570,11 +567,11 @@
     assert!(session.query("WRITE a 6").done());
 }
 
-/// A proxy starts behind a narrow link, and the whole listing takes longer than one call
-/// may wait for its answer to begin. It was given up and asked for from the start each
-/// time, so that callers were refused for as long as the link stayed narrow.
+/// Guards against a listing that restarts forever. Over a slow link the whole listing takes longer
+/// than a call may wait for the start of its response. If it is aborted and requested again each
+/// time, callers are rejected for as long as the link is slow.
 #[test]
-fn a_listing_that_still_arrives_is_not_given_up() {
+fn a_listing_that_still_arrives_is_not_aborted() {
     let managed = Managed::start(3).unwrap();
     let names: Vec<_> = (0..400).map(|n| format!("filing{n}")).collect();
     let databases: Vec<_> = names.iter().map(|n| (n.as_str(), "primary")).collect();
@@ -586,8 +583,8 @@
     session.query_until_done("WRITE a 1");
 }
 
-/// Five proxies of one data centre, one of which reads the store.
-fn followers() -> (Managed, [std::net::SocketAddr; 5]) {
+/// Starts five proxies of one data centre, one of which reads the store.
+fn data_centre() -> (Managed, [std::net::SocketAddr; 5]) {
     let managed = platform();
     let proxies = ["p1", "p2", "p3", "p4", "p5"].map(|name| proxy(&managed, name));
     wait(|| (managed.keys("pomelo/proxy/").len() == 5).then_some(()));
@@ -605,30 +602,30 @@
     }
 }
 
-/// Five proxies of one data centre before a narrow link. One of them reads the store and the
-/// others follow it, so that a new version of a large configuration crosses the link once:
-/// callers of each find the new database, and the store sees one watch.
+/// Five proxies of one data centre share a slow link to the store. One of them reads the store
+/// and the others read from it, so that a new version of a large configuration crosses the link
+/// once: callers of each proxy find the new database, and the store serves one watch.
 #[test]
 fn one_proxy_of_a_data_centre_reads_the_store_for_all() {
-    let (managed, proxies) = followers();
+    let (managed, proxies) = data_centre();
     all_serve_an_added_database(&managed, &proxies);
 }
 
-/// The store turns the proxy away that the others of its data centre follow. They learn of
-/// a new database all the same, from the one that stands in or from the store itself.
+/// The store refuses the proxy that reads it for its data centre. The other proxies still receive
+/// a new database, from the proxy that replaces it or from the store itself.
 #[test]
-fn followers_of_a_lost_reader_learn_of_changes() {
-    let (managed, proxies) = followers();
+fn changes_arrive_after_the_store_reader_fails() {
+    let (managed, proxies) = data_centre();
     managed.set_store_fault(StoreFault::Away);
     thread::sleep(Duration::from_millis(300));
     managed.set_store_fault(StoreFault::None);
     all_serve_an_added_database(&managed, &proxies);
 }
 
-/// Another writer leaves an entry that names no instance. The others hold, and callers
-/// are served.
+/// Another client writes entries that describe no instance. The other entries stay valid, and
+/// callers are served.
 #[test]
-fn an_unreadable_entry_takes_no_other_down() {
+fn an_unreadable_entry_affects_no_other() {
     let managed = platform();
     managed.put("servers/i-bad", b"\xff\x00 not an entry");
     managed.put("servers/i-odd", br#"{"service":7,"state":"asleep"}"#);
@@ -636,8 +633,8 @@
     assert!(session.query_until_done("WRITE a 1").done());
 }
 
-/// Two proxies, and the one that coordinates is not the one with callers: doubts reach it
-/// through the store, and the token of its orders is its own.
+/// Of two proxies, one is the coordinator. Suspicions of the other proxy reach it through the
+/// store, and each of its orders has a fencing token of its own.
 #[test]
 fn one_of_two_proxies_coordinates() {
     let managed = platform();
--- a/crates/front/tests/settings.rs
+++ b/crates/front/tests/settings.rs
@@ -1,4 +1,4 @@
-//! The settings: the deployment's template is valid once filled in, faults are named.
+//! Settings: the deployment template is valid once filled in, and errors name their cause.
 
 use std::io::Write as _;
 
@@ -8,8 +8,8 @@
 
 const TEMPLATE: &str = include_str!("../../../deploy/settings.jsonc");
 
-/// What the platform puts in the place of each field.
-const FIELDS: [(&str, &str); 13] = [
+/// The values that the platform substitutes for the placeholders of the template.
+const PLACEHOLDERS: [(&str, &str); 13] = [
     ("{{nodeName|json}}", "\"front-a-1\""),
     ("{{zone|json}}", "\"a\""),
     ("{{zones|json}}", "{\"a\": \"north\", \"b\": \"south\"}"),
@@ -25,9 +25,9 @@
     ("{{bootstrap|json}}", "true"),
 ];
 
-fn filled() -> String {
+fn filled_template() -> String {
     let fill = |text: String, (from, to): &(&str, &str)| text.replace(from, to);
-    FIELDS.iter().fold(TEMPLATE.to_owned(), fill)
+    PLACEHOLDERS.iter().fold(TEMPLATE.to_owned(), fill)
 }
 
 fn read(text: &str) -> Result<Config, String> {
@@ -38,7 +38,7 @@
 
 #[test]
 fn the_filled_template_is_valid() {
-    let cfg = read(&filled()).unwrap();
+    let cfg = read(&filled_template()).unwrap();
     assert_eq!(cfg.relay_listen.port(), 7440);
     assert_eq!(cfg.grace_s.as_millis(), 6_500);
     assert_eq!(cfg.data_centres.len(), 2);
@@ -47,11 +47,11 @@
 
 #[test_case("\"listen\"", "\"lisen\"", "lisen"; "unknown key")]
 #[test_case("10.1.0.8:8784", "front:8784", "front:8784"; "name instead of an address")]
-#[test_case("6.5", "\"soon\"", "soon"; "no number")]
+#[test_case("6.5", "\"soon\"", "soon"; "not a number")]
 #[test_case("\"store\"", "// \"store\"", "store"; "missing store")]
-fn a_fault_is_named(from: &str, to: &str, named: &str) {
-    let text = filled().replacen(from, to, 1);
-    assert_ne!(text, filled(), "the replacement must match");
+fn an_error_names_its_cause(from: &str, to: &str, named: &str) {
+    let text = filled_template().replacen(from, to, 1);
+    assert_ne!(text, filled_template(), "the replacement must match");
     let report = read(&text).unwrap_err();
     assert!(report.contains(named), "{report}");
 }
--- a/crates/front/tests/soak/callers.rs
+++ b/crates/front/tests/soak/callers.rs
@@ -1,4 +1,4 @@
-//! Callers that write and read, and check what they are told while it happens.
+//! Callers that write and read, and check each reply as it arrives.
 
 use std::net::SocketAddr;
 use std::thread;
@@ -10,8 +10,8 @@
 use crate::env::{Caller, Reply};
 use crate::oracle::{ACCEPTED_AGE, Oracle, Outcome};
 
-/// Refusals that promise that nothing of the statement is kept.
-const PROMISES: [&str; 6] = [
+/// Error codes that guarantee that the statement has no effect.
+const NO_EFFECT: [&str; 6] = [
     "BUSY",
     "ABORTED",
     "LAGGING",
@@ -20,14 +20,14 @@
     "TOOMANY",
 ];
 
-/// Writes numbers to an item of its own, in single statements and transactions, and reads
-/// them back in the same session.
-pub(crate) fn write(seed: u64, who: usize, doors: &[SocketAddr], oracle: &Oracle) {
-    let mut rng = SmallRng::seed_from_u64(seed * 1_000 + who as u64);
-    let (item, mut n) = (format!("c{who}"), 0_u64);
+/// Writes increasing numbers to an item of its own, in single statements and transactions, and
+/// reads them back in the same session.
+pub(crate) fn write(seed: u64, writer: usize, addresses: &[SocketAddr], oracle: &Oracle) {
+    let mut rng = SmallRng::seed_from_u64(seed * 1_000 + writer as u64);
+    let (item, mut n) = (format!("c{writer}"), 0_u64);
     while !oracle.stopped() {
-        let door = doors[rng.random_range(0..doors.len())];
-        let Some(mut session) = Caller::try_connect(door, "audit") else {
+        let address = addresses[rng.random_range(0..addresses.len())];
+        let Some(mut session) = Caller::try_connect(address, "audit") else {
             thread::sleep(Duration::from_millis(20));
             continue;
         };
@@ -39,7 +39,7 @@
             } else {
                 outcome(session.try_query(&format!("WRITE {item} {n}")))
             };
-            oracle.told(&item, n, outcome);
+            oracle.record(&item, n, outcome);
             if outcome == Outcome::Done {
                 newest = Some(n);
             }
@@ -53,39 +53,40 @@
 }
 
 fn write_in_transaction(session: &mut Caller, item: &str, n: u64) -> Outcome {
-    // Until the transaction's end was sent nothing of it can be kept.
-    let begun = session.try_query("BEGIN").is_some_and(|told| told.done());
+    // Nothing of the transaction is kept until its COMMIT has been sent.
+    let begun = session.try_query("BEGIN").is_some_and(|reply| reply.done());
     let ran = begun
         && session
             .try_query(&format!("WRITE {item} {n}"))
-            .is_some_and(|told| told.done());
+            .is_some_and(|reply| reply.done());
     if ran {
         return outcome(session.try_query("COMMIT"));
     }
     session.try_query("ROLLBACK");
-    Outcome::Refused
+    Outcome::Rejected
 }
 
-fn outcome(told: Option<Reply>) -> Outcome {
-    match told {
-        Some(told) if told.done() => Outcome::Done,
-        Some(told) if told.code().is_some_and(|c| PROMISES.contains(&c)) => Outcome::Refused,
+fn outcome(reply: Option<Reply>) -> Outcome {
+    match reply {
+        Some(reply) if reply.done() => Outcome::Done,
+        Some(reply) if reply.code().is_some_and(|c| NO_EFFECT.contains(&c)) => Outcome::Rejected,
         Some(_) | None => Outcome::Unknown,
     }
 }
 
-/// A session must see its newest own write, or a later one. Says whether it goes on.
+/// Checks that a session reads its newest own write, or a later one. Returns whether the session
+/// can be used further.
 fn read_back(session: &mut Caller, item: &str, newest: Option<u64>, oracle: &Oracle) -> bool {
-    let Some(told) = session.try_query(&format!("READ {item}")) else {
+    let Some(reply) = session.try_query(&format!("READ {item}")) else {
         return false;
     };
-    check(oracle, &told, item, newest, "own write");
-    told.state == "I"
+    check(oracle, &reply, item, newest, "own write");
+    reply.state == "I"
 }
 
-/// Reads what others wrote: everything acknowledged before the read on a primary route, and
-/// everything older than the accepted age on the other.
-pub(crate) fn read(seed: u64, database: &str, doors: &[SocketAddr], oracle: &Oracle) {
+/// Reads what the writers wrote. A read on the primary route must see every write acknowledged
+/// before it; a read on the other route every write older than the accepted age.
+pub(crate) fn read(seed: u64, database: &str, addresses: &[SocketAddr], oracle: &Oracle) {
     let mut rng = SmallRng::seed_from_u64(seed * 1_000 + 900 + database.len() as u64);
     let age = if database == "filing" {
         Duration::ZERO
@@ -93,8 +94,8 @@
         ACCEPTED_AGE
     };
     while !oracle.stopped() {
-        let door = doors[rng.random_range(0..doors.len())];
-        let Some(mut session) = Caller::try_connect(door, database) else {
+        let address = addresses[rng.random_range(0..addresses.len())];
+        let Some(mut session) = Caller::try_connect(address, database) else {
             thread::sleep(Duration::from_millis(20));
             continue;
         };
@@ -105,29 +106,28 @@
             };
             let before = Instant::now().checked_sub(age);
             let needed = before.and_then(|before| oracle.acknowledged(item, before));
-            let Some(told) = session.try_query(&format!("READ {item}")) else {
+            let Some(reply) = session.try_query(&format!("READ {item}")) else {
                 break;
             };
-            check(oracle, &told, item, needed, database);
+            check(oracle, &reply, item, needed, database);
             thread::sleep(Duration::from_millis(rng.random_range(0..20)));
         }
     }
 }
 
-/// A read sees what was acknowledged or something later. A write whose outcome is unknown
-/// may be carried out after a later one was acknowledged, so that an item may hold its
-/// number again.
-fn check(oracle: &Oracle, told: &Reply, item: &str, needed: Option<u64>, why: &str) {
-    let Some(needed) = needed.filter(|_| told.done()) else {
+/// Checks that a read returns the acknowledged number or a later one. A write of unknown outcome
+/// may take effect after a later one was acknowledged, so an item may hold its number again.
+fn check(oracle: &Oracle, reply: &Reply, item: &str, needed: Option<u64>, reason: &str) {
+    let Some(needed) = needed.filter(|_| reply.done()) else {
         return;
     };
-    let row = told.lines[0].strip_prefix("ROW ");
-    let seen = row.and_then(|n| n.parse().ok());
-    let late = seen.is_some_and(|n| oracle.is_unknown(item, n));
+    let row = reply.lines[0].strip_prefix("ROW ");
+    let found = row.and_then(|n| n.parse().ok());
+    let late = found.is_some_and(|n| oracle.is_unknown(item, n));
     assert!(
-        seen >= Some(needed) || late,
-        "{why}: {item} must hold {needed} and was read as {:?}, id {}",
-        told.lines,
-        told.id
+        found >= Some(needed) || late,
+        "{reason}: {item} must hold {needed} and was read as {:?}, id {}",
+        reply.lines,
+        reply.id
     );
 }
--- a/crates/front/tests/soak/config.rs
+++ b/crates/front/tests/soak/config.rs
@@ -1,7 +1,7 @@
-//! Configurations that change, and whether a proxy ever goes back to an earlier one.
+//! Changes of the configuration, and a check that no proxy returns to an earlier version.
 //!
-//! Each version has a database of its own, named after it, beside the usual ones. Whoever
-//! finds the database of a version there must not find that of an earlier one later.
+//! Each version has a database of its own, named after it, beside the usual ones. Once a proxy
+//! serves the database of a version, it must not serve that of an earlier one.
 
 use std::io::{BufRead as _, BufReader, Write as _};
 use std::net::{SocketAddr, TcpStream};
@@ -11,13 +11,13 @@
 use crate::env::{self, DATABASES};
 use crate::oracle::Oracle;
 
-/// Longest wait for a proxy's answer; one that is paused is asked again later.
-const PATIENCE: Duration = Duration::from_millis(300);
+/// Timeout for a proxy's response; a paused proxy is queried again in a later round.
+const TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Pause between two rounds.
-const PAUSE: Duration = Duration::from_millis(100);
+const ROUND_PAUSE: Duration = Duration::from_millis(100);
 
-/// The database that only this version has.
+/// The database that exists only in this version.
 pub(crate) fn database(version: u64) -> String {
     format!("v{version}")
 }
@@ -30,10 +30,10 @@
     env::configuration(version, &databases)
 }
 
-/// Whether a proxy has a database; `None` if it gives no answer.
-fn has(proxy: SocketAddr, database: &str) -> Option<bool> {
-    let mut stream = TcpStream::connect_timeout(&proxy, PATIENCE).ok()?;
-    stream.set_read_timeout(Some(PATIENCE)).ok()?;
+/// Whether a proxy serves a database; `None` if it does not respond.
+fn serves(proxy: SocketAddr, database: &str) -> Option<bool> {
+    let mut stream = TcpStream::connect_timeout(&proxy, TIMEOUT).ok()?;
+    stream.set_read_timeout(Some(TIMEOUT)).ok()?;
     write!(stream, "START {database} me\r\n").ok()?;
     let mut line = String::new();
     BufReader::new(stream).read_line(&mut line).ok()?;
@@ -43,19 +43,19 @@
     line.starts_with("ERR NODB").then_some(false)
 }
 
-/// Looks at every proxy again and again.
-pub(crate) fn watch(proxies: &[SocketAddr], oracle: &Oracle) {
+/// Checks every proxy in rounds until the run stops.
+pub(crate) fn check_versions(proxies: &[SocketAddr], oracle: &Oracle) {
     while !oracle.stopped() {
         for proxy in proxies {
             let newest = oracle.version();
-            if has(*proxy, &database(newest)) != Some(true) {
+            if serves(*proxy, &database(newest)) != Some(true) {
                 continue;
             }
             for earlier in newest.saturating_sub(3)..newest {
-                let reverted = has(*proxy, &database(earlier)) == Some(true);
+                let reverted = serves(*proxy, &database(earlier)) == Some(true);
                 assert!(!reverted, "version {earlier} is in force after {newest}");
             }
         }
-        thread::sleep(PAUSE);
+        thread::sleep(ROUND_PAUSE);
     }
 }
--- a/crates/front/tests/soak/faults.rs
+++ b/crates/front/tests/soak/faults.rs
@@ -1,4 +1,4 @@
-//! What goes wrong during a soak.
+//! Fault injection during a soak run.
 
 use std::thread;
 use std::time::{Duration, Instant};
@@ -11,11 +11,11 @@
 
 use crate::config;
 use crate::oracle::Oracle;
-use crate::testbed::{Bed, INSTANCES};
+use crate::testbed::{INSTANCES, Testbed};
 
-/// What ends by itself after a while.
+/// A fault that is ended after some time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Ends {
+enum TimedFault {
     Pause(usize),
     Instance(usize),
     Store,
@@ -24,91 +24,91 @@
     CallerWire(usize),
 }
 
-struct Disturbance<'a> {
+struct Injector<'a> {
     rng: SmallRng,
-    bed: &'a mut Bed,
+    testbed: &'a mut Testbed,
     oracle: &'a Oracle,
-    ending: Vec<(Ends, Instant)>,
+    active: Vec<(TimedFault, Instant)>,
 }
 
-/// Lets things go wrong until the time is up, several at a time, and puts them right.
-pub(crate) fn disturb(seed: u64, bed: &mut Bed, length: Duration, oracle: &Oracle) {
-    let mut disturbance = Disturbance {
+/// Injects faults for `length`, several at a time, and ends them all.
+pub(crate) fn inject(seed: u64, testbed: &mut Testbed, length: Duration, oracle: &Oracle) {
+    let mut injector = Injector {
         rng: SmallRng::seed_from_u64(seed),
-        bed,
+        testbed,
         oracle,
-        ending: Vec::new(),
+        active: Vec::new(),
     };
     let end = Instant::now() + length;
     while Instant::now() < end {
-        disturbance.strike();
-        let pause = disturbance.rng.random_range(60..500);
+        injector.inject_one();
+        let pause = injector.rng.random_range(60..500);
         thread::sleep(Duration::from_millis(pause));
-        disturbance.end_due(Instant::now());
+        injector.end_due(Instant::now());
     }
-    disturbance.end_all();
+    injector.end_all();
 }
 
-impl Disturbance<'_> {
-    fn strike(&mut self) {
-        let at = self.rng.random_range(0..self.bed.members.len());
+impl Injector<'_> {
+    fn inject_one(&mut self) {
+        let at = self.rng.random_range(0..self.testbed.nodes.len());
         match self.rng.random_range(0..16) {
-            0 => self.bed.members[at].proxy.restart(),
+            0 => self.testbed.nodes[at].proxy.restart(),
             1 | 2 => {
-                self.bed.members[at].proxy.signal(Signal::STOP);
-                self.until(Ends::Pause(at));
+                self.testbed.nodes[at].proxy.signal(Signal::STOP);
+                self.end_later(TimedFault::Pause(at));
             }
-            3 => self.stop_in_order(at),
+            3 => self.stop_gracefully(at),
             4 => self.store_fault(),
             5..=7 => self.instance_fault(),
             8 => {
                 let instance = self.rng.random_range(0..INSTANCES);
-                let wire = self.bed.instances[instance].clone();
-                self.wire_fault(&wire, Ends::InstanceWire(instance));
+                let wire = self.testbed.instances[instance].clone();
+                self.wire_fault(&wire, TimedFault::InstanceWire(instance));
             }
             9 => {
-                let wire = self.bed.members[at].store.clone();
-                self.wire_fault(&wire, Ends::StoreWire(at));
+                let wire = self.testbed.nodes[at].store.clone();
+                self.wire_fault(&wire, TimedFault::StoreWire(at));
             }
             10 => {
-                let wire = self.bed.members[at].callers.clone();
-                self.wire_fault(&wire, Ends::CallerWire(at));
+                let wire = self.testbed.nodes[at].callers.clone();
+                self.wire_fault(&wire, TimedFault::CallerWire(at));
             }
-            11 => self.late_orders(),
-            12 => self.bed.managed.forget_history(),
-            13 => self.bed.managed.lapse_leases(),
+            11 => self.delay_orders(),
+            12 => self.testbed.managed.forget_history(),
+            13 => self.testbed.managed.lapse_leases(),
             14 => self.change_configuration(),
-            _ => self.herd(),
+            _ => self.restart_all(),
         }
     }
 
-    fn until(&mut self, what: Ends) {
+    fn end_later(&mut self, fault: TimedFault) {
         let after = Duration::from_millis(self.rng.random_range(100..1_800));
-        self.ending.push((what, Instant::now() + after));
+        self.active.push((fault, Instant::now() + after));
     }
 
-    fn is_on(&self, what: Ends) -> bool {
-        self.ending.iter().any(|(on, _)| *on == what)
+    fn is_active(&self, fault: TimedFault) -> bool {
+        self.active.iter().any(|(active, _)| *active == fault)
     }
 
-    /// Stopped in order, and killed soon after at times.
-    fn stop_in_order(&mut self, at: usize) {
-        self.bed.members[at].proxy.signal(Signal::TERM);
+    /// Stops a proxy gracefully, and kills it if it has not exited within a random time.
+    fn stop_gracefully(&mut self, at: usize) {
+        self.testbed.nodes[at].proxy.signal(Signal::TERM);
         thread::sleep(Duration::from_millis(self.rng.random_range(0..700)));
-        self.bed.members[at].proxy.restart();
+        self.testbed.nodes[at].proxy.restart();
     }
 
-    /// All are killed and started again.
-    fn herd(&mut self) {
+    /// At times kills and restarts all proxies at once.
+    fn restart_all(&mut self) {
         if self.rng.random_bool(0.3) {
-            for member in &mut self.bed.members {
-                member.proxy.restart();
+            for node in &mut self.testbed.nodes {
+                node.proxy.restart();
             }
         }
     }
 
     fn store_fault(&mut self) {
-        if self.is_on(Ends::Store) {
+        if self.is_active(TimedFault::Store) {
             return;
         }
         let faults = [
@@ -118,13 +118,14 @@
             StoreFault::LosesAnswers,
         ];
         let fault = faults[self.rng.random_range(0..faults.len())];
-        self.bed.managed.set_store_fault(fault);
-        self.until(Ends::Store);
+        self.testbed.managed.set_store_fault(fault);
+        self.end_later(TimedFault::Store);
     }
 
     fn instance_fault(&mut self) {
-        let wrong = |(what, _): &(Ends, Instant)| matches!(what, Ends::Instance(_));
-        if self.ending.iter().any(wrong) {
+        let is_instance =
+            |(fault, _): &(TimedFault, Instant)| matches!(fault, TimedFault::Instance(_));
+        if self.active.iter().any(is_instance) {
             return;
         }
         let faults = [
@@ -137,11 +138,11 @@
         ];
         let instance = self.rng.random_range(0..INSTANCES);
         let fault = faults[self.rng.random_range(0..faults.len())];
-        self.bed.managed.set_fault(instance, fault);
-        self.until(Ends::Instance(instance));
+        self.testbed.managed.set_fault(instance, fault);
+        self.end_later(TimedFault::Instance(instance));
     }
 
-    fn wire_fault(&mut self, wire: &Wire, ends: Ends) {
+    fn wire_fault(&mut self, wire: &Wire, timed: TimedFault) {
         let weather = match self.rng.random_range(0..6) {
             0 => return wire.reset(),
             1 => return wire.silence(),
@@ -150,15 +151,15 @@
             4 => Weather::CutBack,
             _ => Weather::Cut,
         };
-        if !self.is_on(ends) {
+        if !self.is_active(timed) {
             wire.set(weather);
-            self.until(ends);
+            self.end_later(timed);
         }
     }
 
-    fn late_orders(&mut self) {
+    fn delay_orders(&mut self) {
         let delay = Duration::from_millis(self.rng.random_range(500..5_000));
-        let managed = &self.bed.managed;
+        let managed = &self.testbed.managed;
         match self.rng.random_range(0..4) {
             0 => managed.delay_next_order(delay),
             1 => managed.delay_next_statement("PAUSE", delay),
@@ -169,35 +170,37 @@
 
     fn change_configuration(&mut self) {
         let version = self.oracle.version() + 1;
-        self.bed.managed.configure(&config::configuration(version));
+        self.testbed
+            .managed
+            .configure(&config::configuration(version));
         self.oracle.set_version(version);
     }
 
     fn end_due(&mut self, now: Instant) {
-        let due: Vec<_> = self.ending.extract_if(.., |(_, at)| *at <= now).collect();
-        for (what, _) in due {
-            self.end(what);
+        let due: Vec<_> = self.active.extract_if(.., |(_, at)| *at <= now).collect();
+        for (fault, _) in due {
+            self.end(fault);
         }
     }
 
-    fn end(&self, what: Ends) {
-        let bed = &self.bed;
-        match what {
-            Ends::Pause(at) => bed.members[at].proxy.signal(Signal::CONT),
-            Ends::Instance(at) => bed.managed.set_fault(at, Fault::None),
-            Ends::Store => bed.managed.set_store_fault(StoreFault::None),
-            Ends::InstanceWire(at) => bed.instances[at].set(Weather::Clear),
-            Ends::StoreWire(at) => bed.members[at].store.set(Weather::Clear),
-            Ends::CallerWire(at) => bed.members[at].callers.set(Weather::Clear),
+    fn end(&self, fault: TimedFault) {
+        let testbed = &self.testbed;
+        match fault {
+            TimedFault::Pause(at) => testbed.nodes[at].proxy.signal(Signal::CONT),
+            TimedFault::Instance(at) => testbed.managed.set_fault(at, Fault::None),
+            TimedFault::Store => testbed.managed.set_store_fault(StoreFault::None),
+            TimedFault::InstanceWire(at) => testbed.instances[at].set(Weather::Clear),
+            TimedFault::StoreWire(at) => testbed.nodes[at].store.set(Weather::Clear),
+            TimedFault::CallerWire(at) => testbed.nodes[at].callers.set(Weather::Clear),
         }
     }
 
     fn end_all(mut self) {
-        for (what, _) in std::mem::take(&mut self.ending) {
-            self.end(what);
+        for (fault, _) in std::mem::take(&mut self.active) {
+            self.end(fault);
         }
-        for member in &self.bed.members {
-            member.proxy.signal(Signal::CONT);
+        for node in &self.testbed.nodes {
+            node.proxy.signal(Signal::CONT);
         }
     }
 }
--- a/crates/front/tests/soak/main.rs
+++ b/crates/front/tests/soak/main.rs
@@ -1,12 +1,12 @@
-//! A randomised run of the real programs as separate processes.
+//! Randomised soak test of proxies that run as separate processes.
 //!
-//! Proxies are killed, paused, stopped and restarted by signals; connections of callers,
-//! instances and the store run over loopback wires that delay, hold back, reset or silence
-//! them; instances and the store of the stand-in misbehave, leases lapse, orders are carried
-//! out late, configurations change. Events come in series and overlap. Callers keep what
-//! they were told, and it is held against what the instances ran and kept.
+//! Signals kill, pause, stop and restart proxies. Connections to callers, instances and the store
+//! run over loopback wires that delay, block, reset or silence them. Instances and the store of
+//! the simulated platform fail, leases expire, orders are executed late, and configurations
+//! change. Faults come in series and overlap. The outcomes that callers received are checked
+//! against what the instances ran and kept.
 //!
-//! `POMELO_SOAK_SEEDS=1-50 POMELO_SOAK_SECONDS=20 POMELO_SOAK_PROXIES=24` makes a long run.
+//! `POMELO_SOAK_SEEDS=1-50 POMELO_SOAK_SECONDS=20 POMELO_SOAK_PROXIES=24` sets up a long run.
 
 #[path = "../env/mod.rs"]
 mod env;
@@ -24,69 +24,69 @@
 
 use env::{Caller, wait};
 use oracle::Oracle;
-use testbed::Bed;
+use testbed::Testbed;
 
 const CALLERS: usize = 6;
 
-/// Seeds of a run without settings; each one that ever failed is among them. 11 and 48: the
-/// callers of the soak went on with a session after an answer had not come, and took it for
-/// the next one. 25: a write of unknown outcome was carried out after a later one.
+/// Default seeds, with each one that ever failed. With 11 and 48, callers of the test reused a
+/// session after a reply had timed out, and took that reply for the next one. With 25, a write of
+/// unknown outcome took effect after a later one.
 const SEEDS: [u64; 5] = [1, 2, 11, 25, 48];
 
-/// Length of a run without settings.
+/// Default length of a run, in seconds.
 const SECONDS: u64 = 6;
 
-/// Proxies of a run without settings.
+/// Default number of proxies.
 const PROXIES: u64 = 4;
 
 fn soak(seed: u64, length: Duration, proxies: usize) {
-    let mut bed = Bed::new(proxies);
+    let mut testbed = Testbed::new(proxies);
     let oracle = Oracle::default();
-    let doors: Vec<_> = bed.members.iter().map(|m| m.callers.address()).collect();
-    let straight: Vec<_> = bed.members.iter().map(|m| m.proxy.listen).collect();
+    let addresses: Vec<_> = testbed.nodes.iter().map(|n| n.callers.address()).collect();
+    let direct: Vec<_> = testbed.nodes.iter().map(|n| n.proxy.listen).collect();
     let failed = thread::scope(|scope| {
-        let (oracle, doors, straight) = (&oracle, &doors, &straight);
-        let writers =
-            (0..CALLERS).map(|who| scope.spawn(move || callers::write(seed, who, doors, oracle)));
+        let (oracle, addresses, direct) = (&oracle, &addresses, &direct);
+        let writers = (0..CALLERS)
+            .map(|writer| scope.spawn(move || callers::write(seed, writer, addresses, oracle)));
         let readers = ["filing", "lookup"]
             .into_iter()
-            .map(|database| scope.spawn(move || callers::read(seed, database, doors, oracle)));
+            .map(|database| scope.spawn(move || callers::read(seed, database, addresses, oracle)));
         let mut running: Vec<_> = writers.collect();
         running.extend(readers);
-        running.push(scope.spawn(move || config::watch(straight, oracle)));
-        faults::disturb(seed, &mut bed, length, oracle);
+        running.push(scope.spawn(move || config::check_versions(direct, oracle)));
+        faults::inject(seed, &mut testbed, length, oracle);
         oracle.stop.store(true, Ordering::Relaxed);
         running.into_iter().filter_map(|c| c.join().err()).count()
     });
     if failed > 0 {
         panic!(
-            "seed {seed}: {failed} callers saw a broken promise; logs in {}",
-            bed.keep_logs().display()
+            "seed {seed}: {failed} checks failed; logs in {}",
+            testbed.keep_logs().display()
         );
     }
-    // Once nothing is wrong any more every proxy serves again, by the newest configuration.
-    for address in &straight {
+    // Once all faults have ended, every proxy serves again, by the newest configuration.
+    for address in &direct {
         wait(|| {
             let mut session = Caller::try_connect(*address, "filing")?;
             session.try_query("WRITE last 1").filter(env::Reply::done)
         });
         wait(|| Caller::try_connect(*address, &config::database(oracle.version())));
     }
-    match oracle.judge(&bed.managed.log()) {
+    match oracle.verify(&testbed.managed.log()) {
         Ok(summary) => {
-            // Nobody may be reading.
+            // Standard error may be closed.
             let _ = writeln!(std::io::stderr(), "seed {seed}: {summary}");
         }
-        Err(broken) => panic!(
-            "seed {seed}: {broken}; logs in {}",
-            bed.keep_logs().display()
+        Err(contradiction) => panic!(
+            "seed {seed}: {contradiction}; logs in {}",
+            testbed.keep_logs().display()
         ),
     }
 }
 
-fn setting(name: &str, usual: u64) -> u64 {
+fn setting(name: &str, default: u64) -> u64 {
     let text = std::env::var(name).ok();
-    text.map_or(usual, |text| text.parse().unwrap())
+    text.map_or(default, |text| text.parse().unwrap())
 }
 
 fn seeds() -> Vec<u64> {
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn promises_hold_while_everything_fails() {
+fn guarantees_hold_under_faults() {
     let length = Duration::from_secs(setting("POMELO_SOAK_SECONDS", SECONDS));
     let proxies = setting("POMELO_SOAK_PROXIES", PROXIES);
     for seed in seeds() {
--- a/crates/front/tests/soak/oracle.rs
+++ b/crates/front/tests/soak/oracle.rs
@@ -1,16 +1,16 @@
-//! What callers were told, and whether it was true.
+//! Records the replies to writes, and checks them against the log of the group.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// What a caller was told of a write.
+/// What the reply to a write guarantees.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Outcome {
     Done,
-    /// It was promised that nothing is kept.
-    Refused,
+    /// The write has no effect.
+    Rejected,
     Unknown,
 }
 
@@ -20,11 +20,11 @@
     item: String,
     number: u64,
     outcome: Outcome,
-    /// When its caller had the answer.
-    told: Instant,
+    /// When its caller received the reply.
+    replied_at: Instant,
 }
 
-/// Everything that callers were told, and the newest configuration.
+/// Outcomes of all writes, and the version of the newest configuration.
 #[derive(Default)]
 pub(crate) struct Oracle {
     pub(crate) stop: AtomicBool,
@@ -42,7 +42,7 @@
         self.stop.load(Ordering::Relaxed)
     }
 
-    /// The newest configuration that the operators wrote.
+    /// The version of the newest configuration in the store.
     pub(crate) fn version(&self) -> u64 {
         self.version.load(Ordering::Relaxed).max(1)
     }
@@ -51,30 +51,30 @@
         self.version.store(version, Ordering::Relaxed);
     }
 
-    pub(crate) fn told(&self, item: &str, number: u64, outcome: Outcome) {
+    pub(crate) fn record(&self, item: &str, number: u64, outcome: Outcome) {
         self.writes().push(Write {
             item: item.to_owned(),
             number,
             outcome,
-            told: Instant::now(),
+            replied_at: Instant::now(),
         });
     }
 
-    /// The newest number of an item that was acknowledged before `before`.
+    /// The highest number of an item that was acknowledged before `before`.
     pub(crate) fn acknowledged(&self, item: &str, before: Instant) -> Option<u64> {
         let writes = self.writes();
         let done = writes.iter().filter(|w| {
-            let of = w.item == item && w.outcome == Outcome::Done;
-            of && w.told < before
+            let done = w.item == item && w.outcome == Outcome::Done;
+            done && w.replied_at < before
         });
         done.map(|w| w.number).max()
     }
 
-    /// Whether the outcome of a write is unknown, or not told yet.
+    /// Whether the outcome of a write is unknown, or not recorded yet.
     pub(crate) fn is_unknown(&self, item: &str, number: u64) -> bool {
         let writes = self.writes();
-        let told = writes.iter().find(|w| w.item == item && w.number == number);
-        told.is_none_or(|w| w.outcome == Outcome::Unknown)
+        let write = writes.iter().find(|w| w.item == item && w.number == number);
+        write.is_none_or(|w| w.outcome == Outcome::Unknown)
     }
 
     /// The items that were written.
@@ -85,8 +85,9 @@
         items
     }
 
-    /// Holds what callers were told against what the group kept.
-    pub(crate) fn judge(&self, log: &[String]) -> Result<String, String> {
+    /// Checks all outcomes against the log of the group; returns a summary, or the first
+    /// contradiction.
+    pub(crate) fn verify(&self, log: &[String]) -> Result<String, String> {
         let mut kept: BTreeMap<&str, usize> = BTreeMap::new();
         for entry in log {
             *kept.entry(entry).or_default() += 1;
@@ -95,22 +96,22 @@
         for write in writes.iter() {
             let entry = format!("{}={}", write.item, write.number);
             let times = kept.get(entry.as_str()).copied().unwrap_or_default();
-            let right = match write.outcome {
+            let consistent = match write.outcome {
                 Outcome::Done => times == 1,
-                Outcome::Refused => times == 0,
+                Outcome::Rejected => times == 0,
                 Outcome::Unknown => times <= 1,
             };
-            if !right {
+            if !consistent {
                 return Err(format!("{write:?} is kept {times} times"));
             }
         }
         let done = writes.iter().filter(|w| w.outcome == Outcome::Done).count();
         if done == 0 {
-            return Err("nothing was served".to_owned());
+            return Err("no write succeeded".to_owned());
         }
         Ok(format!("{} writes, {done} done", writes.len()))
     }
 }
 
-/// The age that reads of `lookup` accept, and `audit` beside its own writes.
+/// The age of data that reads of `lookup` accept, and reads of `audit` beyond their own writes.
 pub(crate) const ACCEPTED_AGE: Duration = Duration::from_millis(1_500);
--- a/crates/front/tests/soak/testbed.rs
+++ b/crates/front/tests/soak/testbed.rs
@@ -1,4 +1,5 @@
-//! What a soak runs on: the stand-in, proxies as processes, and the wires between them.
+//! Test bed of a soak run: the simulated platform, proxies as processes, and the wires between
+//! them.
 
 use std::path::PathBuf;
 
@@ -12,36 +13,36 @@
 /// Instances of the group.
 pub(crate) const INSTANCES: usize = 3;
 
-/// A proxy with the wires that lead to it and away from it.
-pub(crate) struct Member {
+/// A proxy with its incoming and outgoing wires.
+pub(crate) struct Node {
     pub(crate) proxy: Proxy,
-    /// Its callers connect here.
+    /// Callers connect to the proxy through it.
     pub(crate) callers: Wire,
-    /// It connects to the store and gives orders here.
+    /// The proxy connects to the store and sends orders through it.
     pub(crate) store: Wire,
 }
 
-/// Everything that a soak runs on.
-pub(crate) struct Bed {
+/// Everything that a soak run needs.
+pub(crate) struct Testbed {
     pub(crate) managed: Managed,
-    pub(crate) members: Vec<Member>,
-    /// All proxies connect to the instances here.
+    pub(crate) nodes: Vec<Node>,
+    /// All proxies connect to the instances through these, one for each.
     pub(crate) instances: Vec<Wire>,
     folder: TempDir,
 }
 
-impl Bed {
+impl Testbed {
     pub(crate) fn new(proxies: usize) -> Self {
         let managed = Managed::start(INSTANCES).unwrap();
         managed.configure(&config::configuration(1));
-        let wires = (0..INSTANCES).map(|at| {
-            let wire = Wire::to(managed.instance_address(at)).unwrap();
-            managed.announce_at(at, wire.address());
+        let wires = (0..INSTANCES).map(|instance| {
+            let wire = Wire::to(managed.instance_address(instance)).unwrap();
+            managed.announce_at(instance, wire.address());
             wire
         });
         let instances = wires.collect();
         let folder = tempfile::tempdir().unwrap();
-        let members = (0..proxies).map(|n| {
+        let nodes = (0..proxies).map(|n| {
             let store = Wire::to(managed.address()).unwrap();
             let name = format!("p{n}");
             let proxy = Proxy::start_with(&managed, folder.path(), &name, |settings| {
@@ -50,22 +51,22 @@
                 settings["orders"] = address.into();
             });
             let callers = Wire::to(proxy.listen).unwrap();
-            Member {
+            Node {
                 proxy,
                 callers,
                 store,
             }
         });
-        let members = members.collect();
+        let nodes = nodes.collect();
         Self {
             managed,
-            members,
+            nodes,
             instances,
             folder,
         }
     }
 
-    /// Keeps the logs of a run that failed.
+    /// Keeps the logs and returns their folder.
     pub(crate) fn keep_logs(self) -> PathBuf {
         self.folder.keep()
     }
--- a/crates/front/tests/stop.rs
+++ b/crates/front/tests/stop.rs
@@ -1,4 +1,4 @@
-//! Stopping a proxy that still serves.
+//! Graceful shutdown of a proxy that still serves callers.
 
 mod env;
 
@@ -10,11 +10,11 @@
 use rustix::process::Signal;
 use standin::managed::Managed;
 
-/// A proxy is told to stop while a caller is in a transaction. It gave its place in the
-/// store up and, a second later, announced itself again: other proxies counted it and sent
-/// work to it, and it took the coordinator's duty that it had just given up.
+/// Guards against a stopping proxy that registers in the store again a second after it deleted
+/// its registration, while a caller is still in a transaction: other proxies would count it and
+/// send it work, and it would take back the coordinator role that it had just released.
 #[test]
-fn a_stopping_proxy_does_not_announce_itself_again() {
+fn a_stopping_proxy_does_not_register_again() {
     let managed = Managed::start(3).unwrap();
     managed.configure(&configuration(1, &DATABASES));
     let folder = tempfile::tempdir().unwrap();
