--- a/crates/front/src/coordinator.rs
+++ b/crates/front/src/coordinator.rs
@@ -213,7 +213,7 @@
         let result =
             platform::order::promote(&self.orders, holder, token, target, ORDER_TIMEOUT).await;
         let response = result.as_ref().ok().copied();
-        self.cx.metrics.ordered(purpose, response);
+        self.cx.metrics.order_ended(purpose, response);
         if matches!(response, None | Some(OrderResponse::Accepted)) {
             self.order_trackers
                 .with(group, |e| e.record_order(purpose, instance));
@@ -235,7 +235,7 @@
             last_purpose: after,
         }) = unexpected
         {
-            self.cx.metrics.order_late(after);
+            self.cx.metrics.unexpected_primary(after);
             tracing::warn!(%group, %instance, ?after, "unexpected primary: not the result of this coordinator's last order");
         }
     }
--- a/crates/front/src/coordinator/queries.rs
+++ b/crates/front/src/coordinator/queries.rs
@@ -160,7 +160,7 @@
         let states = self.send_all(&entries, own).await;
         for entry in &entries {
             let responded = states.contains_key(&entry.id);
-            this.cx.metrics.told(own, responded);
+            this.cx.metrics.command_ended(own, responded);
         }
         states
     }
--- a/crates/front/src/coordinator/takeover.rs
+++ b/crates/front/src/coordinator/takeover.rs
@@ -62,14 +62,14 @@
         last_wait: None,
         order_sent: false,
         promoted: false,
-        outcome: Outcome::GivenUp,
+        outcome: Outcome::TimedOut,
         queries,
     };
     while !has_elapsed(started, change.timeout()) {
         if !this.holds_role(epoch) {
             // The next coordinator resumes the replicas, by `resume::repair`.
             tracing::warn!(group = %id, "the coordinator role was lost during a change of primary");
-            this.cx.metrics.change_ended(cause, Outcome::DutyLost);
+            this.cx.metrics.change_ended(cause, Outcome::RoleLost);
             return;
         }
         if change.advance(this).await {
