--- a/crates/front/src/directory.rs
+++ b/crates/front/src/directory.rs
@@ -1,8 +1,8 @@
 //! Follows the platform's store: the configuration, the instances, the other proxies and
 //! the coordinator.
 
+mod intents;
 mod keys;
-mod notes;
 mod state;
 
 use std::cell::{Cell, RefCell};
@@ -28,8 +28,8 @@
 use crate::feed::Touch;
 use crate::group::Shares;
 use crate::lend::Carrier;
+pub use intents::Call;
 pub use keys::{Announced, COORDINATOR, DOUBTS, PROXIES, noted};
-pub use notes::Call;
 use state::Placement;
 pub use state::State;
 
--- a/crates/front/src/directory/keys.rs
+++ b/crates/front/src/directory/keys.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 use store::kv::{Listing, Record};
 
-use super::notes::Call;
+use super::intents::Call;
 
 /// Prefix of the keys of live proxies; the proxy's name follows.
 pub const PROXIES: &str = "pomelo/proxy/";
--- a/crates/front/src/directory/state.rs
+++ b/crates/front/src/directory/state.rs
@@ -16,8 +16,8 @@
 use store::kv::{Listing, Record};
 use store::watch::{Batch, Change};
 
+use super::intents::{Call, Note, Notes};
 use super::keys::{self, Announced, COORDINATOR, DOUBTS, PROXIES};
-use super::notes::{Call, Note, Notes};
 use placement::Placed;
 pub(super) use placement::Placement;
 
--- a/crates/front/src/group.rs
+++ b/crates/front/src/group.rs
@@ -1,10 +1,10 @@
 //! The task of one group: it owns the pool of connections, looks after the primary, and
 //! carries out what the pool decides.
 
+mod checked_out;
 mod handle;
-mod lent;
 mod probe;
-mod receipt;
+mod replica_ack;
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -25,9 +25,9 @@
 use crate::conn::{Conn, ConnError};
 use crate::metrics::Metrics;
 use crate::place::Ways;
+pub use checked_out::Lent;
 pub use handle::Handle;
-pub use lent::Lent;
-use receipt::Prover;
+use replica_ack::Prover;
 
 /// Longest time for opening a connection. Load: an instance whose slots are full makes a
 /// handshake wait behind some statements; harm of a shorter one: half-open connections.
--- a/crates/front/src/group/handle.rs
+++ b/crates/front/src/group/handle.rs
@@ -8,7 +8,7 @@
 use policy::pool::{ConnRequest, Reason, Rejection};
 use policy::replica_ack::{Replica, Write};
 
-use super::receipt::Request;
+use super::replica_ack::Request;
 use super::{Lent, Message, Note, Shares, View};
 
 /// Sends messages to a group's task.
