--- a/crates/front/src/changes.rs
+++ b/crates/front/src/changes.rs
@@ -223,8 +223,8 @@
 }
 
 async fn noted(client: &Client) -> Option<IndexSet<GroupId>> {
-    match kv::list(client, directory::Call::Change.prefix()).await {
-        Ok(listing) => Some(directory::noted(&listing)),
+    match kv::list(client, directory::IntentKind::Change.prefix()).await {
+        Ok(listing) => Some(directory::pending_changes(&listing)),
         Err(e) => {
             tracing::info!(cause = %e, "the store did not tell whether a change of primary is under way");
             None
--- a/crates/front/src/coordinator.rs
+++ b/crates/front/src/coordinator.rs
@@ -237,7 +237,7 @@
     async fn trigger(&self, group: &group::Handle) -> Option<(InstanceId, Cause)> {
         let view = group.view().await;
         let id = group.group();
-        let told = self.cx.concerns.about(id, clock::now());
+        let told = self.cx.reports.about(id, clock::now());
         if let Some(doubted) = self.doubted(id, &told, view.primary.as_ref()) {
             return Some((doubted, Cause::Doubted));
         }
@@ -245,7 +245,7 @@
         if order::pending(self, id).is_some_and(|ordered| ordered != primary) {
             return Some((primary, Cause::Unfinished));
         }
-        let members = self.directory.with(|s| s.members(group.group()));
+        let members = self.directory.with(|s| s.instances(group.group()));
         let leaving = members.iter().any(|(e, _)| e.id == primary && e.leaving);
         let successor = members
             .iter()
@@ -270,7 +270,7 @@
         });
         self.directory.with(|state| {
             let doubts = Suspicions {
-                by_proxy: state.doubts(group).chain(reported).collect(),
+                by_proxy: state.suspicions(group).chain(reported).collect(),
                 primary: primary.cloned(),
                 recently_promoted: self.named.settling(group),
                 holders: state.holders(group) as usize,
--- a/crates/front/src/coordinator/links.rs
+++ b/crates/front/src/coordinator/links.rs
@@ -108,12 +108,12 @@
             let limit = self.limit(&entry.id);
             let group = self.group.clone();
             async move {
-                let lent = group.ask(control(entry, limit)).await;
+                let lent = group.request(control(entry, limit)).await;
                 let mut lent = lent.map_err(|_| ConnError::Silent)?;
                 let conn = lent.conn().ok_or(ConnError::Silent)?;
                 let state = conn.state(own, limit).await;
                 if matches!(state, Ok(_) | Err(ConnError::Refused(_))) {
-                    lent.give_back();
+                    lent.release();
                 }
                 state
             }
@@ -163,7 +163,7 @@
 
     /// The group's instances, and whether each is announced.
     pub(super) fn entries(&self, this: &Coordinator) -> Vec<(Entry, bool)> {
-        this.directory.with(|s| s.members(self.group.group()))
+        this.directory.with(|s| s.instances(self.group.group()))
     }
 
     /// Asks instances for their states. `asked` says which of them, `near` which are in the
--- a/crates/front/src/coordinator/noting.rs
+++ b/crates/front/src/coordinator/noting.rs
@@ -5,7 +5,7 @@
 
 use super::Coordinator;
 use super::takeover::REFUSED_PAUSE;
-use crate::directory::Call;
+use crate::directory::IntentKind;
 
 /// The note of a change, which is written beside the first looks.
 pub(super) struct Noting {
@@ -46,7 +46,7 @@
 async fn write(this: &Coordinator, group: &GroupId, duty: Revision) -> Option<Revision> {
     let noted = this
         .directory
-        .note(&this.store, duty, Call::Change, group, &[]);
+        .record_intent(&this.store, duty, IntentKind::Change, group, &[]);
     match noted.await {
         Ok(noted) => Some(noted),
         Err(e) => {
--- a/crates/front/src/coordinator/order.rs
+++ b/crates/front/src/coordinator/order.rs
@@ -13,7 +13,7 @@
 use super::Coordinator;
 use super::links::Links;
 use crate::clock;
-use crate::directory::Call;
+use crate::directory::IntentKind;
 
 /// An order that was given.
 pub(super) struct Given {
@@ -64,7 +64,7 @@
     let name = next.as_str().as_bytes();
     let noted = match this
         .directory
-        .note(&this.store, *duty, Call::Lead, group, name)
+        .record_intent(&this.store, *duty, IntentKind::Lead, group, name)
         .await
     {
         Ok(noted) => noted,
@@ -106,7 +106,7 @@
         }
         let since = clock::now().since(self.at);
         if order::is_settled(self.answer, self.earlier, led, since) {
-            forget(this, group, Call::Lead, self.noted).await;
+            forget(this, group, IntentKind::Lead, self.noted).await;
         }
     }
 }
@@ -140,7 +140,7 @@
     let Some(given) = given.filter(|given| given.answer == Some(OrderResponse::Accepted)) else {
         return false;
     };
-    forget(this, &basis.group, Call::Lead, given.noted).await;
+    forget(this, &basis.group, IntentKind::Lead, given.noted).await;
     true
 }
 
@@ -149,18 +149,18 @@
 pub(super) async fn forget_replaced(this: &Coordinator, group: &GroupId) {
     let replaced = this
         .directory
-        .with(|s| s.order_replaced(group, clock::now()));
+        .with(|s| s.replaced_order(group, clock::now()));
     if let Some(noted) = replaced {
         tracing::info!(%group, "the ordered instance was replaced at its address: its order is void");
-        forget(this, group, Call::Lead, noted).await;
+        forget(this, group, IntentKind::Lead, noted).await;
     }
 }
 
 /// Forgets the note of a call that cannot be carried out any more.
-pub(super) async fn forget_expired(this: &Coordinator, group: &GroupId, call: Call) {
+pub(super) async fn forget_expired(this: &Coordinator, group: &GroupId, call: IntentKind) {
     let expired = this
         .directory
-        .with(|s| s.note_expired(call, group, clock::now()));
+        .with(|s| s.expired_intent(call, group, clock::now()));
     if let Some(noted) = expired {
         forget(this, group, call, noted).await;
     }
@@ -168,10 +168,10 @@
 
 /// Deletes a note. One that stays lapses, and is deleted then; until then the call is taken for
 /// pending.
-pub(super) async fn forget(this: &Coordinator, group: &GroupId, call: Call, noted: Revision) {
+pub(super) async fn forget(this: &Coordinator, group: &GroupId, call: IntentKind, noted: Revision) {
     let forgotten = this
         .directory
-        .forget_note(&this.store, call, group, noted)
+        .delete_intent(&this.store, call, group, noted)
         .await;
     if let Err(e) = forgotten {
         tracing::info!(%group, ?call, cause = %e, "a note was not deleted");
--- a/crates/front/src/coordinator/resume.rs
+++ b/crates/front/src/coordinator/resume.rs
@@ -8,7 +8,7 @@
 use super::links::Links;
 use super::report;
 use super::{Coordinator, order};
-use crate::directory::Call;
+use crate::directory::IntentKind;
 use crate::{clock, group};
 
 /// Lets replicas receive that were told to stop by a change of primary that did not end.
@@ -17,7 +17,7 @@
 /// to stop may be carried out seconds late. Such a replica receives nothing any more, its
 /// reads are refused, and with all of them stopped no write ends.
 pub(super) async fn mend(this: &Coordinator, duty: Revision, group: group::Handle) {
-    for call in [Call::Receive, Call::Lead] {
+    for call in [IntentKind::Receive, IntentKind::Lead] {
         order::forget_expired(this, group.group(), call).await;
     }
     let mut links = Links::new(group, duty);
@@ -34,7 +34,9 @@
 pub(super) async fn resume(this: &Coordinator, links: &mut Links) {
     let group = links.group.group().clone();
     order::forget_replaced(this, &group).await;
-    let noted = this.directory.with(|s| s.noted(Call::Change, &group));
+    let noted = this
+        .directory
+        .with(|s| s.intent_revision(IntentKind::Change, &group));
     // Without the duty it may be the note of a successor's change.
     let noted = Some(noted).filter(|noted| *noted > Revision(0) && this.holds(links.duty));
     // An order that lapses during the look may have been carried out after its answers.
@@ -53,7 +55,7 @@
     // No order for another instance is pending, so that replicas which have forgotten that
     // they were stopped may count again.
     if let Some(noted) = noted {
-        order::forget(this, &group, Call::Change, noted).await;
+        order::forget(this, &group, IntentKind::Change, noted).await;
     }
     order::void_earlier(this, links, &primary.id).await;
     let stopped = stopped(&members);
@@ -84,7 +86,7 @@
         .with(|s| s.resume_pending(&group, clock::now()));
     let noted = match this
         .directory
-        .note(&this.store, links.duty, Call::Receive, &group, &[])
+        .record_intent(&this.store, links.duty, IntentKind::Receive, &group, &[])
         .await
     {
         Ok(noted) => noted,
@@ -101,6 +103,6 @@
     tracing::info!(%group, "replicas were told to receive again");
     report::states(&group, &states);
     if states.len() == stopped.len() && !earlier {
-        order::forget(this, &group, Call::Receive, noted).await;
+        order::forget(this, &group, IntentKind::Receive, noted).await;
     }
 }
--- a/crates/front/src/coordinator/takeover.rs
+++ b/crates/front/src/coordinator/takeover.rs
@@ -219,7 +219,7 @@
         let needless = silent && complete && self.cause == Cause::Doubted && !resume_pending;
         let old = self.old.clone();
         let asked = |entry: &Entry| !(needless && entry.id == old);
-        let ways = this.cx.ways();
+        let ways = this.cx.distances();
         let near = |entry: &Entry| {
             let home = home.as_ref();
             home.is_none_or(|home| ways.same_region(home, &entry.data_centre))
--- a/crates/front/src/cx.rs
+++ b/crates/front/src/cx.rs
@@ -24,17 +24,17 @@
     routes: RefCell<Arc<Routes>>,
     groups: RefCell<IndexMap<GroupId, group::Handle>>,
     /// The ways to groups past this proxy's own pools.
-    pub roads: Roads,
+    pub conn_sources: Roads,
     /// Speaks to other proxies.
     pub relay: relay::Client,
     sessions: Cell<usize>,
     /// What this proxy knows of the store, for its neighbours.
     pub feed: Feed,
     /// What proxies find wrong with primaries.
-    pub concerns: concern::Board,
+    pub reports: concern::Board,
     /// Tells whether changes of primary are under way.
     pub changes: Changes,
-    ways: Ways,
+    distances: Ways,
     /// Bounds the lines about served statements.
     pub served_lines: logs::Budget,
     /// Metrics of the process.
@@ -45,17 +45,17 @@
 
 impl Cx {
     /// A context without configuration.
-    pub fn new(ways: Ways, metrics: Metrics, stop: Stop) -> Self {
+    pub fn new(distances: Ways, metrics: Metrics, stop: Stop) -> Self {
         Self {
             routes: RefCell::default(),
             groups: RefCell::default(),
-            roads: Roads::default(),
+            conn_sources: Roads::default(),
             relay: relay::Client::default(),
             sessions: Cell::new(0),
             feed: Feed::default(),
-            concerns: concern::Board::default(),
+            reports: concern::Board::default(),
             changes: Changes::default(),
-            ways,
+            distances,
             served_lines: logs::Budget::default(),
             metrics,
             stop,
@@ -73,8 +73,8 @@
     }
 
     /// How far data centres are apart.
-    pub fn ways(&self) -> &Ways {
-        &self.ways
+    pub fn distances(&self) -> &Ways {
+        &self.distances
     }
 
     /// The task of a group, if the group is known.
@@ -92,12 +92,12 @@
         if let Some(handle) = self.group(group) {
             return handle;
         }
-        let board = self.concerns.clone();
+        let reports = self.reports.clone();
         let handle = group::spawn(group::Setup {
             group: group.clone(),
-            ways: self.ways.clone(),
+            distances: self.distances.clone(),
             metrics: self.metrics.clone(),
-            board,
+            reports,
             changes: self.changes.clone(),
         });
         let mut groups = self.groups.borrow_mut();
@@ -111,16 +111,16 @@
     }
 
     /// Counts a session for as long as the result lives.
-    pub fn enter(self: &Rc<Self>) -> Entered {
+    pub fn count_session(self: &Rc<Self>) -> SessionCount {
         self.sessions.set(self.sessions.get() + 1);
-        Entered(self.clone())
+        SessionCount(self.clone())
     }
 }
 
 /// A session that is counted.
-pub struct Entered(Rc<Cx>);
+pub struct SessionCount(Rc<Cx>);
 
-impl Drop for Entered {
+impl Drop for SessionCount {
     fn drop(&mut self) {
         self.0.sessions.set(self.0.sessions.get() - 1);
     }
--- a/crates/front/src/directory.rs
+++ b/crates/front/src/directory.rs
@@ -25,11 +25,11 @@
 use crate::changes::{self, Changes};
 use crate::clock;
 use crate::cx::Cx;
-use crate::feed::Touch;
+use crate::feed::StoreAccess;
 use crate::group::Shares;
 use crate::lend::Carrier;
-pub use intents::Call;
-pub use keys::{Announced, COORDINATOR, DOUBTS, PROXIES, noted};
+pub use intents::IntentKind;
+pub use keys::{Announced, COORDINATOR, PROXIES, SUSPICIONS, pending_changes};
 use state::Placement;
 pub use state::State;
 
@@ -51,7 +51,7 @@
 
 /// Why a note is not known to be in the store.
 #[derive(Debug, thiserror::Error)]
-pub enum NoteError {
+pub enum IntentError {
     /// The store did not answer, or refused.
     #[error(transparent)]
     Store(#[from] Error),
@@ -125,8 +125,8 @@
     }
 
     /// Takes over what a call's answer told about the coordinator's key.
-    pub fn note_coordinator(&self, record: Record) {
-        self.state.borrow_mut().note_coordinator(record);
+    pub fn update_coordinator(&self, record: Record) {
+        self.state.borrow_mut().update_coordinator(record);
     }
 
     /// Notes in the store that a call is made for a group, if the duty to coordinate is still
@@ -134,22 +134,22 @@
     ///
     /// A note of a former coordinator would replace one of its successor, or come after the
     /// successor has read the store.
-    pub async fn note(
+    pub async fn record_intent(
         &self,
         client: &Client,
         duty: Revision,
-        call: Call,
+        call: IntentKind,
         group: &GroupId,
         value: &[u8],
-    ) -> Result<Revision, NoteError> {
+    ) -> Result<Revision, IntentError> {
         let key = call.key(group);
         for _ in 0..NOTE_TRIES {
-            let known = self.with(|s| s.noted(call, group));
+            let known = self.with(|s| s.intent_revision(call, group));
             let guard = (COORDINATOR, duty);
             let outcome = kv::swap_guarded(client, guard, &key, known, value).await?;
             let mut state = self.state.borrow_mut();
             let mut learn = |revision, value| {
-                state.note(call, group.clone(), revision, value, clock::now());
+                state.put_intent(call, group.clone(), revision, value, clock::now());
             };
             match outcome {
                 Outcome::Applied(noted) => {
@@ -160,28 +160,28 @@
                     let same = current.value == value;
                     learn(current.revision, current.value);
                     if !same {
-                        return Err(NoteError::Other);
+                        return Err(IntentError::Other);
                     }
                 }
                 Outcome::Conflict(None) if known != Revision(0) => {
-                    state.forget_note(call, group, known);
+                    state.forget_intent(call, group, known);
                 }
-                Outcome::Conflict(_) | Outcome::Unknown => return Err(NoteError::Superseded),
+                Outcome::Conflict(_) | Outcome::Unknown => return Err(IntentError::Superseded),
             }
         }
-        Err(NoteError::Superseded)
+        Err(IntentError::Superseded)
     }
 
     /// Deletes that note, unless a newer one has taken its place.
-    pub async fn forget_note(
+    pub async fn delete_intent(
         &self,
         client: &Client,
-        call: Call,
+        call: IntentKind,
         group: &GroupId,
         noted: Revision,
     ) -> Result<(), Error> {
         kv::delete(client, &call.key(group), noted).await?;
-        self.state.borrow_mut().forget_note(call, group, noted);
+        self.state.borrow_mut().forget_intent(call, group, noted);
         Ok(())
     }
 
@@ -198,7 +198,7 @@
                 Ok(news) => {
                     if let Some(since) = lost.take() {
                         let out_ms = clock::now().since(since).as_millis();
-                        tracing::info!(out_ms, touch = ?self.cx.feed.touch(), "the store is in reach again");
+                        tracing::info!(out_ms, touch = ?self.cx.feed.access(), "the store is in reach again");
                         self.complete_until.set(Some(heard));
                     }
                     heard = clock::now();
@@ -207,7 +207,7 @@
                     self.complete_until.set(None);
                 }
                 Err(e) => {
-                    self.cx.feed.set_touch(Touch::Lost);
+                    self.cx.feed.set_access(StoreAccess::Lost);
                     if matches!(e, Error::WatchEnded) {
                         known = known.min(Known::Others);
                     }
@@ -234,7 +234,7 @@
             *known = Known::Others;
         }
         if let Some(news) = self.hear_neighbour(*known).await {
-            self.cx.feed.set_touch(Touch::Follows);
+            self.cx.feed.set_access(StoreAccess::Follows);
             *known = Known::All;
             return Ok(news);
         }
@@ -246,7 +246,7 @@
             Update::Listing(kv::list(client, "").await?)
         };
         *known = Known::All;
-        self.cx.feed.set_touch(Touch::Reads);
+        self.cx.feed.set_access(StoreAccess::Reads);
         Ok(news)
     }
 
@@ -259,7 +259,7 @@
         } else {
             kv::list_stale(client, PROXIES).await?
         };
-        self.state.borrow_mut().meet(proxies);
+        self.state.borrow_mut().add_proxies(proxies);
         Ok(())
     }
 
@@ -299,7 +299,7 @@
 
     /// Asks the neighbours that read the store which groups have a change of primary under way;
     /// `None` if this proxy is to ask the store.
-    pub async fn hear_changes(&self, within: Span) -> Option<changes::Noted> {
+    pub async fn query_changes(&self, within: Span) -> Option<changes::Noted> {
         while let Some((reader, address)) = self.reader(&self.asked) {
             let noted = self.cx.relay.changes(&reader, address, within).await;
             if let Some(noted) = noted {
@@ -323,7 +323,7 @@
         }
         self.hand_out();
         let readers = self.with(State::readers);
-        let at_once = (self.coordinates)(self) || self.cx.feed.touch() == Touch::Follows;
+        let at_once = (self.coordinates)(self) || self.cx.feed.access() == StoreAccess::Follows;
         let pause = self.follow.borrow().batch_delay(readers, at_once);
         compio::time::sleep(pause.as_duration()).await;
     }
@@ -359,7 +359,7 @@
             let shares = Shares {
                 connections: limits.connections,
                 holders: state.holders(group),
-                is_holder: state.holds(group) || coordinates,
+                is_holder: state.is_holder(group) || coordinates,
             };
             // A group that does not know its share must not ask its instances who leads.
             handle.set_shares(shares);
@@ -378,9 +378,9 @@
             address: state.relay(proxy).filter(|_| *proxy != self.me.id),
         };
         let through = placement.plan.poolers.iter().map(carrier).collect();
-        self.cx.roads.set_through(group, through);
+        self.cx.conn_sources.set_through(group, through);
         let address = |peer: &ProxyId| Some((peer.clone(), state.relay(peer)?));
         let peers = placement.peers.iter().filter_map(address).collect();
-        self.cx.roads.set_peers(group, peers);
+        self.cx.conn_sources.set_peers(group, peers);
     }
 }
--- a/crates/front/src/directory/intents.rs
+++ b/crates/front/src/directory/intents.rs
@@ -21,7 +21,7 @@
 
 /// A call that may be carried out long after it was made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Call {
+pub enum IntentKind {
     /// Replicas of a group are told to receive again.
     Receive,
     /// An instance, which the note names, is ordered to lead its group.
@@ -30,7 +30,7 @@
     Change,
 }
 
-impl Call {
+impl IntentKind {
     pub(super) const ALL: [Self; 3] = [Self::Receive, Self::Lead, Self::Change];
 
     /// Prefix of the keys of its notes; the group follows.
@@ -58,7 +58,7 @@
 
 /// A note about one group.
 #[derive(Clone, Debug)]
-pub(super) struct Note {
+pub(super) struct Intent {
     /// Its last change in the store.
     pub(super) revision: Revision,
     /// When this proxy learned of it.
@@ -67,7 +67,7 @@
     pub(super) value: Vec<u8>,
 }
 
-impl Note {
+impl Intent {
     /// The instance that it names, if it can be read.
     pub(super) fn instance(&self) -> Option<InstanceId> {
         std::str::from_utf8(&self.value).ok()?.parse().ok()
@@ -76,31 +76,31 @@
 
 /// Notes by call and group.
 #[derive(Debug, Default)]
-pub(super) struct Notes {
-    receive: IndexMap<GroupId, Note>,
-    lead: IndexMap<GroupId, Note>,
-    change: IndexMap<GroupId, Note>,
+pub(super) struct Intents {
+    receive: IndexMap<GroupId, Intent>,
+    lead: IndexMap<GroupId, Intent>,
+    change: IndexMap<GroupId, Intent>,
 }
 
-impl Notes {
-    const fn of(&self, call: Call) -> &IndexMap<GroupId, Note> {
+impl Intents {
+    const fn of(&self, call: IntentKind) -> &IndexMap<GroupId, Intent> {
         match call {
-            Call::Receive => &self.receive,
-            Call::Lead => &self.lead,
-            Call::Change => &self.change,
+            IntentKind::Receive => &self.receive,
+            IntentKind::Lead => &self.lead,
+            IntentKind::Change => &self.change,
         }
     }
 
-    const fn of_mut(&mut self, call: Call) -> &mut IndexMap<GroupId, Note> {
+    const fn of_mut(&mut self, call: IntentKind) -> &mut IndexMap<GroupId, Intent> {
         match call {
-            Call::Receive => &mut self.receive,
-            Call::Lead => &mut self.lead,
-            Call::Change => &mut self.change,
+            IntentKind::Receive => &mut self.receive,
+            IntentKind::Lead => &mut self.lead,
+            IntentKind::Change => &mut self.change,
         }
     }
 
     /// Takes a note over unless a newer one is known.
-    pub(super) fn put(&mut self, call: Call, group: GroupId, note: Note) {
+    pub(super) fn put(&mut self, call: IntentKind, group: GroupId, note: Intent) {
         let notes = self.of_mut(call);
         let known = notes.get(&group);
         if known.is_none_or(|known| known.revision < note.revision) {
@@ -109,7 +109,7 @@
     }
 
     /// The note of this revision is deleted.
-    pub(super) fn forget(&mut self, call: Call, group: &GroupId, revision: Revision) {
+    pub(super) fn forget(&mut self, call: IntentKind, group: &GroupId, revision: Revision) {
         let notes = self.of_mut(call);
         let known = notes.get(group);
         if known.is_some_and(|known| known.revision <= revision) {
@@ -119,27 +119,27 @@
 
     /// Keeps the notes whose keys a listing of this revision has, and those written since.
     pub(super) fn retain(&mut self, has: impl Fn(&str) -> bool, listed: Revision) {
-        for call in Call::ALL {
+        for call in IntentKind::ALL {
             self.of_mut(call)
                 .retain(|group, note| note.revision > listed || has(&call.key(group)));
         }
     }
 
     /// The last change of a group's note; 0 without one.
-    pub(super) fn revision(&self, call: Call, group: &GroupId) -> Revision {
+    pub(super) fn revision(&self, call: IntentKind, group: &GroupId) -> Revision {
         let note = self.of(call).get(group);
         note.map_or(Revision(0), |note| note.revision)
     }
 
     /// The note about a group, while the call may still be carried out: for so long after
     /// this proxy learned of it.
-    pub(super) fn pending(&self, call: Call, group: &GroupId, now: Time) -> Option<&Note> {
+    pub(super) fn pending(&self, call: IntentKind, group: &GroupId, now: Time) -> Option<&Intent> {
         let note = self.of(call).get(group)?;
         (now.since(note.learned) < call.pending()).then_some(note)
     }
 
     /// The note that no longer says anything.
-    pub(super) fn expired(&self, call: Call, group: &GroupId, now: Time) -> Option<Revision> {
+    pub(super) fn expired(&self, call: IntentKind, group: &GroupId, now: Time) -> Option<Revision> {
         let note = self.of(call).get(group)?;
         (now.since(note.learned) >= call.pending()).then_some(note.revision)
     }
--- a/crates/front/src/directory/state.rs
+++ b/crates/front/src/directory/state.rs
@@ -16,8 +16,8 @@
 use store::kv::{Listing, Record};
 use store::watch::{Batch, Change};
 
-use super::intents::{Call, Note, Notes};
-use super::keys::{self, Announced, COORDINATOR, DOUBTS, PROXIES};
+use super::intents::{Intent, IntentKind, Intents};
+use super::keys::{self, Announced, COORDINATOR, PROXIES, SUSPICIONS};
 use placement::Placed;
 pub(super) use placement::Placement;
 
@@ -67,7 +67,7 @@
     live: u64,
     coordinator: Option<Record>,
     doubts: IndexMap<(GroupId, ProxyId), InstanceId>,
-    notes: Notes,
+    notes: Intents,
     /// Instances whose address another one has taken over, oldest first.
     replaced: VecDeque<InstanceId>,
 }
@@ -84,7 +84,7 @@
     }
 
     /// The live proxies' names.
-    pub fn live(&self) -> impl Iterator<Item = &ProxyId> {
+    pub fn proxy_ids(&self) -> impl Iterator<Item = &ProxyId> {
         self.proxies.keys()
     }
 
@@ -111,7 +111,7 @@
     }
 
     /// Takes over who else is there, before anything else is known.
-    pub fn meet(&mut self, listing: Listing) {
+    pub fn add_proxies(&mut self, listing: Listing) {
         for record in listing.records {
             if let Some(proxy) = record.key.strip_prefix(PROXIES) {
                 self.put_proxy(proxy, &record.value);
@@ -132,7 +132,7 @@
     }
 
     /// Proxies that doubt a group's primary, with the instance that each doubts.
-    pub fn doubts(&self, group: &GroupId) -> impl Iterator<Item = (ProxyId, InstanceId)> {
+    pub fn suspicions(&self, group: &GroupId) -> impl Iterator<Item = (ProxyId, InstanceId)> {
         let of = move |(at, _): &(&(GroupId, ProxyId), &InstanceId)| at.0 == *group;
         let doubts = self.doubts.iter().filter(of);
         doubts.map(|((_, proxy), instance)| (proxy.clone(), instance.clone()))
@@ -146,7 +146,7 @@
 
     /// A group's instances, those included that went a short time ago; the flag says
     /// whether an instance is announced.
-    pub fn members(&self, group: &GroupId) -> Vec<(Entry, bool)> {
+    pub fn instances(&self, group: &GroupId) -> Vec<(Entry, bool)> {
         let of = self.instances.values().filter(|k| k.entry.group == *group);
         of.map(|k| (k.entry.clone(), k.missing_since.is_none()))
             .collect()
@@ -168,7 +168,7 @@
         self.proxies.retain(|id, _| has(&format!("{PROXIES}{id}")));
         self.live += u64::from(live != self.proxies.len());
         self.doubts
-            .retain(|(group, proxy), _| has(&format!("{DOUBTS}{group}/{proxy}")));
+            .retain(|(group, proxy), _| has(&format!("{SUSPICIONS}{group}/{proxy}")));
         self.notes.retain(has, listing.revision);
         if !has(COORDINATOR) {
             let listed = listing.revision;
@@ -199,22 +199,22 @@
         } else if record.key.starts_with(entry::PREFIX) {
             self.put_entry(&record);
         } else if record.key == COORDINATOR {
-            self.note_coordinator(record);
+            self.update_coordinator(record);
         } else if let Some(proxy) = record.key.strip_prefix(PROXIES) {
             self.put_proxy(proxy, &record.value);
-        } else if let Some(at) = keys::doubt(&record.key) {
+        } else if let Some(at) = keys::suspicion(&record.key) {
             let text = String::from_utf8_lossy(&record.value);
             if let Ok(instance) = text.parse::<InstanceId>() {
                 self.doubts.insert(at, instance);
             }
-        } else if let Some((call, group)) = keys::note(&record.key) {
-            self.note(call, group, record.revision, record.value, now);
+        } else if let Some((call, group)) = keys::intent(&record.key) {
+            self.put_intent(call, group, record.revision, record.value, now);
         }
     }
 
     /// Takes over who coordinates, from the store's changes or from a call's own answer,
     /// which may be ahead of them.
-    pub fn note_coordinator(&mut self, record: Record) {
+    pub fn update_coordinator(&mut self, record: Record) {
         let known = self.coordinator.as_ref();
         if known.is_none_or(|known| known.revision < record.revision) {
             self.coordinator = Some(record);
@@ -222,54 +222,56 @@
     }
 
     /// A call is made for a group; the note says `value`.
-    pub fn note(
+    pub fn put_intent(
         &mut self,
-        call: Call,
+        call: IntentKind,
         group: GroupId,
         revision: Revision,
         value: Vec<u8>,
         now: Time,
     ) {
-        let note = Note {
+        let note = Intent {
             revision,
             learned: now,
             value,
         };
-        if call == Call::Lead && note.instance().is_none() {
+        if call == IntentKind::Lead && note.instance().is_none() {
             tracing::warn!(%group, %revision, "the note of an order names no instance; no primary is changed until it lapses");
         }
         self.notes.put(call, group, note);
     }
 
     /// The note of this revision is deleted.
-    pub fn forget_note(&mut self, call: Call, group: &GroupId, revision: Revision) {
+    pub fn forget_intent(&mut self, call: IntentKind, group: &GroupId, revision: Revision) {
         self.notes.forget(call, group, revision);
     }
 
     /// The last change of a note; 0 without one.
-    pub fn noted(&self, call: Call, group: &GroupId) -> Revision {
+    pub fn intent_revision(&self, call: IntentKind, group: &GroupId) -> Revision {
         self.notes.revision(call, group)
     }
 
     /// The note about a call that can no longer be carried out.
-    pub fn note_expired(&self, call: Call, group: &GroupId, now: Time) -> Option<Revision> {
+    pub fn expired_intent(&self, call: IntentKind, group: &GroupId, now: Time) -> Option<Revision> {
         self.notes.expired(call, group, now)
     }
 
     /// Whether a replica of the group may still be told to receive again.
     pub fn resume_pending(&self, group: &GroupId, now: Time) -> bool {
-        self.notes.pending(Call::Receive, group, now).is_some()
+        self.notes
+            .pending(IntentKind::Receive, group, now)
+            .is_some()
     }
 
     /// The instance of an order to lead that may still be carried out.
     pub fn order_pending(&self, group: &GroupId, now: Time) -> Option<InstanceId> {
-        self.notes.pending(Call::Lead, group, now)?.instance()
+        self.notes.pending(IntentKind::Lead, group, now)?.instance()
     }
 
     /// The note of an order that can no longer be carried out, as another instance has taken over
     /// the address of the one that it names.
-    pub fn order_replaced(&self, group: &GroupId, now: Time) -> Option<Revision> {
-        let note = self.notes.pending(Call::Lead, group, now)?;
+    pub fn replaced_order(&self, group: &GroupId, now: Time) -> Option<Revision> {
+        let note = self.notes.pending(IntentKind::Lead, group, now)?;
         let instance = note.instance()?;
         self.replaced.contains(&instance).then_some(note.revision)
     }
@@ -277,7 +279,7 @@
     /// Whether an order to lead may still be carried out whose note cannot be read: nobody can
     /// be named then.
     pub fn order_unreadable(&self, group: &GroupId, now: Time) -> bool {
-        let note = self.notes.pending(Call::Lead, group, now);
+        let note = self.notes.pending(IntentKind::Lead, group, now);
         note.is_some_and(|note| note.instance().is_none())
     }
 
@@ -410,10 +412,10 @@
                 self.proxies.shift_remove(&proxy);
                 self.live += 1;
             }
-        } else if let Some(at) = keys::doubt(key) {
+        } else if let Some(at) = keys::suspicion(key) {
             self.doubts.shift_remove(&at);
-        } else if let Some((call, group)) = keys::note(key) {
-            self.forget_note(call, &group, revision);
+        } else if let Some((call, group)) = keys::intent(key) {
+            self.forget_intent(call, &group, revision);
         }
     }
 
--- a/crates/front/src/directory/state/placement.rs
+++ b/crates/front/src/directory/state/placement.rs
@@ -65,7 +65,7 @@
     }
 
     /// Whether this proxy holds connections to a group.
-    pub fn holds(&self, group: &GroupId) -> bool {
+    pub fn is_holder(&self, group: &GroupId) -> bool {
         self.placed.get(group).is_none_or(|p| p.plan.is_holder)
     }
 
--- a/crates/front/src/feed.rs
+++ b/crates/front/src/feed.rs
@@ -24,7 +24,7 @@
 
 /// Where this proxy's knowledge comes from.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Touch {
+pub enum StoreAccess {
     /// Nothing is known yet, and it was not tried in vain either.
     #[default]
     Starting,
@@ -77,7 +77,7 @@
 #[derive(Default)]
 pub struct Feed {
     mirror: RefCell<Mirror>,
-    touch: Cell<Touch>,
+    access: Cell<StoreAccess>,
     waiting: RefCell<Vec<flume::Sender<()>>>,
     /// The last news that were packed, from which revision on; followers mostly ask for
     /// the same.
@@ -92,13 +92,13 @@
     }
 
     /// Where the knowledge comes from.
-    pub fn touch(&self) -> Touch {
-        self.touch.get()
+    pub fn access(&self) -> StoreAccess {
+        self.access.get()
     }
 
     /// Notes where the knowledge comes from.
-    pub fn set_touch(&self, touch: Touch) {
-        if self.touch.replace(touch) != touch {
+    pub fn set_access(&self, access: StoreAccess) {
+        if self.access.replace(access) != access {
             self.wake();
         }
     }
@@ -123,16 +123,16 @@
         loop {
             let now = clock::now();
             let over = now >= until;
-            match self.touch.get() {
-                Touch::Lost => return None,
-                Touch::Follows if now >= begun + STANDS_IN => return None,
-                Touch::Follows => {
+            match self.access.get() {
+                StoreAccess::Lost => return None,
+                StoreAccess::Follows if now >= begun + STANDS_IN => return None,
+                StoreAccess::Follows => {
                     self.changed(begun + STANDS_IN).await;
                     continue;
                 }
-                Touch::Starting if over => return None,
-                Touch::Starting => {}
-                Touch::Reads => {
+                StoreAccess::Starting if over => return None,
+                StoreAccess::Starting => {}
+                StoreAccess::Reads => {
                     let news = self.mirror.borrow().since(after);
                     let nothing =
                         matches!(&news, Update::Changes(batch) if batch.changes.is_empty());
--- a/crates/front/src/group.rs
+++ b/crates/front/src/group.rs
@@ -25,7 +25,7 @@
 use crate::conn::{Conn, ConnError};
 use crate::metrics::Metrics;
 use crate::place::Ways;
-pub use checked_out::Lent;
+pub use checked_out::CheckedOut;
 pub use handle::Handle;
 use replica_ack::Prover;
 
@@ -54,7 +54,7 @@
     Entries(Vec<Entry>, Time),
     Shares(Shares),
     Probed(probe::Report),
-    Note(InstanceId, Note),
+    Feedback(InstanceId, Feedback),
     View(flume::Sender<View>),
     Replicas(flume::Sender<Vec<Replica>>),
     Primary(InstanceId),
@@ -63,7 +63,7 @@
 
 /// What a session learned about an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub enum Note {
+pub enum Feedback {
     /// It may not write.
     ReadOnly,
     /// Its log lacked this point.
@@ -115,11 +115,11 @@
     /// Which group.
     pub group: GroupId,
     /// How far data centres are apart.
-    pub ways: Ways,
+    pub distances: Ways,
     /// Metrics of the process.
     pub metrics: Metrics,
     /// Where the tasks put up what is wrong with the group.
-    pub board: concern::Board,
+    pub reports: concern::Board,
     /// Tells whether a change of primary is under way.
     pub changes: Changes,
 }
@@ -132,9 +132,9 @@
     own: bool,
     /// Whether it is known who holds connections.
     shared: bool,
-    ways: Ways,
+    distances: Ways,
     metrics: Metrics,
-    board: concern::Board,
+    reports: concern::Board,
     changes: Changes,
     /// When to see next to connections that count.
     prepare_at: Time,
@@ -145,9 +145,9 @@
 pub fn spawn(setup: Setup) -> Handle {
     let Setup {
         group,
-        ways,
+        distances,
         metrics,
-        board,
+        reports,
         changes,
     } = setup;
     let (tx, rx) = flume::unbounded();
@@ -158,9 +158,9 @@
         watch: PrimaryMonitor::default(),
         own: true,
         shared: false,
-        ways,
+        distances,
         metrics,
-        board,
+        reports,
         changes: changes.clone(),
         prepare_at: Time::default(),
         tx: tx.clone(),
@@ -224,7 +224,7 @@
                 Vec::new()
             }
             Message::Probed(report) => self.probed(report, now),
-            Message::Note(id, note) => {
+            Message::Feedback(id, note) => {
                 self.noted(&id, note, now);
                 Vec::new()
             }
@@ -280,8 +280,8 @@
     }
 
     fn entries(&mut self, entries: &[Entry], since: Time, now: Time) -> Vec<Action<Conn, Reply>> {
-        let ways = self.ways.clone();
-        let way = |e: &Entry| ways.round_trip(&e.data_centre);
+        let distances = self.distances.clone();
+        let way = |e: &Entry| distances.round_trip(&e.data_centre);
         let actions = self.pool.set_entries_since(entries, way, since, now);
         self.watch.set_entries(entries);
         self.look(now);
@@ -306,21 +306,21 @@
         self.shared = true;
     }
 
-    fn noted(&mut self, id: &InstanceId, note: Note, now: Time) {
+    fn noted(&mut self, id: &InstanceId, note: Feedback, now: Time) {
         match note {
-            Note::ReadOnly => {
+            Feedback::ReadOnly => {
                 self.disproved(id, "it refused a write");
                 self.look(now);
             }
-            Note::Busy => self.pool.record_overload(id, now),
-            Note::Lacks(point) => self.pool.record_lack(id, point, now),
-            Note::Silent => {
+            Feedback::Busy => self.pool.record_overload(id, now),
+            Feedback::Lacks(point) => self.pool.record_lack(id, point, now),
+            Feedback::Silent => {
                 self.pool.pause_reads(id, now + probe::REST);
                 self.watch.connection_failed(id, now);
                 self.look(now);
             }
-            Note::WriteStalls => self.watch.record_stall(id, now),
-            Note::Wrote => self.watch.record_write(id),
+            Feedback::WriteStalls => self.watch.record_stall(id, now),
+            Feedback::Wrote => self.watch.record_write(id),
         }
     }
 
@@ -338,7 +338,7 @@
         let others = self.pool.instances().filter(|i| Some(i.id()) != primary);
         let replica = |i: &pool::Instance<Conn>| Replica {
             id: i.id().clone(),
-            round_trip: self.ways.round_trip(&i.entry().data_centre),
+            round_trip: self.distances.round_trip(&i.entry().data_centre),
             leaving: i.entry().leaving,
         };
         others.map(replica).collect()
@@ -370,7 +370,7 @@
             doubt: self.watch.suspicion(now),
             lags: lags_for.is_some_and(|lags| lags >= LAGS),
         };
-        self.board.set_own(&self.id, concern);
+        self.reports.set_own(&self.id, concern);
     }
 
     fn act(&mut self, actions: Vec<Action<Conn, Reply>>) {
--- a/crates/front/src/group/checked_out.rs
+++ b/crates/front/src/group/checked_out.rs
@@ -9,19 +9,19 @@
 use policy::pool::Grant;
 use policy::replica_ack::Write;
 
-use super::{Handle, Message, Note, Returned, probe};
+use super::{Feedback, Handle, Message, Returned, probe};
 use crate::conn::Conn;
 use crate::relay::WayBack;
 
 /// A connection on loan; dropping it unreturned counts it as lost.
-pub struct Lent {
+pub struct CheckedOut {
     home: Home,
     /// Whose connection it is.
     pub instance: InstanceId,
     /// The read must carry this point.
     pub after: Option<Point>,
     /// The instance must first prove that it leads.
-    pub prove: bool,
+    pub verify_primary: bool,
     conn: Option<Conn>,
 }
 
@@ -30,17 +30,17 @@
     /// The group's task of this process.
     Here(Handle),
     /// Another proxy; what was learned goes back with the connection.
-    Relayed(WayBack, Rc<RefCell<Vec<Note>>>),
+    Relayed(WayBack, Rc<RefCell<Vec<Feedback>>>),
 }
 
-impl Lent {
+impl CheckedOut {
     /// A loan of this process's own.
     pub(super) fn here(handle: Handle, grant: Grant<Conn>) -> Self {
         Self {
             home: Home::Here(handle),
             instance: grant.instance,
             after: grant.after,
-            prove: grant.verify_primary,
+            verify_primary: grant.verify_primary,
             conn: Some(grant.conn),
         }
     }
@@ -50,14 +50,14 @@
         way_back: WayBack,
         instance: InstanceId,
         after: Option<Point>,
-        prove: bool,
+        verify_primary: bool,
         conn: Conn,
     ) -> Self {
         Self {
             home: Home::Relayed(way_back, Rc::default()),
             instance,
             after,
-            prove,
+            verify_primary,
             conn: Some(conn),
         }
     }
@@ -73,7 +73,7 @@
     }
 
     /// Gives the connection back for others to use.
-    pub fn give_back(mut self) {
+    pub fn release(mut self) {
         if let Some(conn) = self.conn.take() {
             self.send(conn, true);
         }
@@ -81,7 +81,7 @@
 
     /// Gives the connection back after a write, and waits until a replica is known to hold
     /// it; `false` if none is until `give_up`.
-    pub async fn prove(mut self, point: Point, give_up: Time) -> bool {
+    pub async fn release_and_await_ack(mut self, point: Point, give_up: Time) -> bool {
         let Some(conn) = self.conn.take() else {
             return false;
         };
@@ -93,7 +93,7 @@
             Home::Here(handle) => {
                 let handle = handle.clone();
                 self.send(conn, true);
-                handle.prove(write, give_up).await
+                handle.await_ack(write, give_up).await
             }
             Home::Relayed(way_back, notes) => {
                 let notes = notes.take();
@@ -103,19 +103,19 @@
     }
 
     /// Tells what the session learned about the instance.
-    pub fn note(&self, note: Note) {
-        self.noter()(note);
+    pub fn record_feedback(&self, note: Feedback) {
+        self.feedback_sender()(note);
     }
 
     /// The same, for as long as the connection is in use.
-    pub fn noter(&self) -> impl Fn(Note) + use<> {
+    pub fn feedback_sender(&self) -> impl Fn(Feedback) + use<> {
         let instance = self.instance.clone();
         let (here, notes) = match &self.home {
             Home::Here(handle) => (Some(handle.clone()), None),
             Home::Relayed(_, notes) => (None, Some(notes.clone())),
         };
         move |note| match (&here, &notes) {
-            (Some(handle), _) => handle.note(&instance, note),
+            (Some(handle), _) => handle.record_feedback(&instance, note),
             (None, Some(notes)) => notes.borrow_mut().push(note),
             (None, None) => {}
         }
@@ -141,7 +141,7 @@
 
     /// Tells the group early what the connection proved, while it stays on loan. The proof
     /// of a loan from another proxy goes back with it.
-    pub fn tell_proof(&mut self) {
+    pub fn report_proof(&mut self) {
         let Home::Here(handle) = &self.home else {
             return;
         };
@@ -153,7 +153,7 @@
     }
 }
 
-impl Drop for Lent {
+impl Drop for CheckedOut {
     fn drop(&mut self) {
         if let Some(conn) = self.conn.take() {
             self.send(conn, false);
--- a/crates/front/src/group/handle.rs
+++ b/crates/front/src/group/handle.rs
@@ -9,7 +9,7 @@
 use policy::replica_ack::{Replica, Write};
 
 use super::replica_ack::Request;
-use super::{Lent, Message, Note, Shares, View};
+use super::{CheckedOut, Feedback, Message, Shares, View};
 
 /// Sends messages to a group's task.
 #[derive(Clone)]
@@ -31,7 +31,7 @@
     }
 
     /// Waits for a connection or a refusal.
-    pub async fn ask(&self, ask: ConnRequest) -> Result<Lent, Rejection> {
+    pub async fn request(&self, ask: ConnRequest) -> Result<CheckedOut, Rejection> {
         let (tx, rx) = flume::bounded(1);
         self.send(Message::Ask(ask, tx));
         let stopped = Rejection {
@@ -39,7 +39,7 @@
             retry_after: Span::from_millis(0),
         };
         let grant = rx.recv_async().await.unwrap_or(Err(stopped))?;
-        Ok(Lent::here(self.clone(), grant))
+        Ok(CheckedOut::here(self.clone(), grant))
     }
 
     /// Takes over the announced instances, which may have been so since this time.
@@ -53,8 +53,8 @@
     }
 
     /// Tells what was learned about an instance.
-    pub fn note(&self, instance: &InstanceId, note: Note) {
-        self.send(Message::Note(instance.clone(), note));
+    pub fn record_feedback(&self, instance: &InstanceId, note: Feedback) {
+        self.send(Message::Feedback(instance.clone(), note));
     }
 
     /// An instance was made primary: it is looked at first.
@@ -68,7 +68,7 @@
     }
 
     /// Waits until a replica is known to hold a write; `false` if none is until `give_up`.
-    pub async fn prove(&self, write: Write, give_up: Time) -> bool {
+    pub async fn await_ack(&self, write: Write, give_up: Time) -> bool {
         let (reply, rx) = flume::bounded(1);
         let request = Request {
             write,
--- a/crates/front/src/group/replica_ack.rs
+++ b/crates/front/src/group/replica_ack.rs
@@ -8,7 +8,7 @@
 use policy::pool::{ConnRequest, Kind};
 use policy::replica_ack::{self, PendingAcks, Replica, Unresponsive, Write};
 
-use super::{Handle, Lent};
+use super::{CheckedOut, Handle};
 use crate::changes::Changes;
 use crate::clock;
 
@@ -103,7 +103,7 @@
             if !self.unproven.is_empty() && self.is_eligible(&lent) {
                 self.ask(lent, rx).await;
             } else {
-                lent.give_back();
+                lent.release();
             }
         }
         self.give_up();
@@ -114,12 +114,12 @@
     }
 
     /// Asks a replica on a connection that counts.
-    async fn ask(&mut self, mut lent: Lent, rx: &flume::Receiver<Request>) {
+    async fn ask(&mut self, mut lent: CheckedOut, rx: &flume::Receiver<Request>) {
         let id = lent.instance.clone();
         let Some(conn) = lent.conn() else { return };
         let end = match conn.log_end(ANSWER).await {
             Ok(end) => {
-                lent.give_back();
+                lent.release();
                 self.silent.remove(&id);
                 end
             }
@@ -150,7 +150,7 @@
         tell(expired, false);
     }
 
-    async fn lend(&mut self, id: &InstanceId) -> Option<Lent> {
+    async fn lend(&mut self, id: &InstanceId) -> Option<CheckedOut> {
         let now = clock::now();
         let ask = ConnRequest {
             kind: Kind::Control(id.clone()),
@@ -161,14 +161,14 @@
             avoid: None,
             may_wait: true,
         };
-        let lent = self.handle.ask(ask).await;
+        let lent = self.handle.request(ask).await;
         if lent.is_err() {
             self.silent.add(id.clone(), clock::now());
         }
         lent.ok()
     }
 
-    fn is_eligible(&self, lent: &Lent) -> bool {
+    fn is_eligible(&self, lent: &CheckedOut) -> bool {
         let opened = lent.opened();
         opened.is_some_and(|opened| self.changes.is_eligible(&self.group, opened))
     }
--- a/crates/front/src/lend.rs
+++ b/crates/front/src/lend.rs
@@ -13,7 +13,7 @@
 
 use crate::clock;
 use crate::cx::Cx;
-use crate::group::Lent;
+use crate::group::CheckedOut;
 use crate::relay;
 
 /// Hint while a group is not known yet: the store tells of it within a second.
@@ -84,7 +84,11 @@
 
 impl Cx {
     /// Waits for a connection to a group, of this proxy or of another one.
-    pub async fn lend(&self, group: &GroupId, mut ask: ConnRequest) -> Result<Lent, Rejection> {
+    pub async fn lend(
+        &self,
+        group: &GroupId,
+        mut ask: ConnRequest,
+    ) -> Result<CheckedOut, Rejection> {
         while clock::now() < ask.deadline {
             match self.borrow(group, &ask).await {
                 Ok(end) => return end,
@@ -106,8 +110,8 @@
         &self,
         group: &GroupId,
         ask: &ConnRequest,
-    ) -> Result<Result<Lent, Rejection>, Next> {
-        let mut carriers = self.roads.through(group).into_iter().peekable();
+    ) -> Result<Result<CheckedOut, Rejection>, Next> {
+        let mut carriers = self.conn_sources.through(group).into_iter().peekable();
         let mut round = PoolerAttempts::default();
         while let Some(carrier) = carriers.next() {
             let Some(address) = carrier.address else {
@@ -130,12 +134,16 @@
 
     /// Waits for a connection of this proxy, or goes through another one if no instance that
     /// could serve the request is in reach from here.
-    async fn lend_here(&self, group: &GroupId, mut ask: ConnRequest) -> Result<Lent, Rejection> {
+    async fn lend_here(
+        &self,
+        group: &GroupId,
+        mut ask: ConnRequest,
+    ) -> Result<CheckedOut, Rejection> {
         let Some(handle) = self.group(group) else {
             return Err(unknown());
         };
         loop {
-            match handle.ask(ask.clone()).await {
+            match handle.request(ask.clone()).await {
                 Err(refused) if refused.reason == Reason::Unreachable && !ask.may_wait => {}
                 end => return end,
             }
@@ -152,20 +160,20 @@
         &self,
         group: &GroupId,
         ask: &ConnRequest,
-    ) -> Option<Result<Lent, Rejection>> {
-        let peers = match self.roads.way(group) {
+    ) -> Option<Result<CheckedOut, Rejection>> {
+        let peers = match self.conn_sources.way(group) {
             FallbackChoice::Known(peer) => vec![peer],
             FallbackChoice::Search(peers) => peers,
             FallbackChoice::None => return None,
         };
         for peer in peers {
-            let Some(address) = self.roads.address(group, &peer) else {
-                self.roads.lost(group, &peer);
+            let Some(address) = self.conn_sources.address(group, &peer) else {
+                self.conn_sources.lost(group, &peer);
                 continue;
             };
             match self.relay.ask(&peer, address, group, ask).await {
                 Ok(lent) => {
-                    if self.roads.found(group, &peer) {
+                    if self.conn_sources.found(group, &peer) {
                         tracing::info!(%group, %peer, instance = %lent.instance, "a group out of reach is served through another proxy");
                         if let Some(handle) = self.group(group) {
                             handle.release();
@@ -174,7 +182,7 @@
                     return Some(Ok(lent));
                 }
                 Err(relay::Miss::Refused(refused)) => return Some(Err(refused)),
-                Err(relay::Miss::Elsewhere(_)) => self.roads.lost(group, &peer),
+                Err(relay::Miss::Elsewhere(_)) => self.conn_sources.lost(group, &peer),
             }
         }
         None
--- a/crates/front/src/member.rs
+++ b/crates/front/src/member.rs
@@ -21,7 +21,7 @@
 
 use crate::clock;
 use crate::cx::Cx;
-use crate::directory::{Announced, DOUBTS, Directory, PROXIES};
+use crate::directory::{Announced, Directory, PROXIES, SUSPICIONS};
 use duty::Duty;
 use lease::Lease;
 
@@ -130,7 +130,7 @@
             kv::put(client, &key, &value, lease).await?;
             self.announced.set(true);
         }
-        let concerns = cx.concerns.unheard(clock::now());
+        let concerns = cx.reports.unheard(clock::now());
         let mut groups: Vec<_> = self.doubts.borrow().keys().cloned().collect();
         groups.extend(concerns.keys().cloned());
         for group in groups {
@@ -148,7 +148,7 @@
         lease: LeaseId,
     ) -> Result<(), Error> {
         let told = self.doubts.borrow().get(group).cloned();
-        let key = format!("{DOUBTS}{group}/{}", self.id);
+        let key = format!("{SUSPICIONS}{group}/{}", self.id);
         match (told, doubt) {
             (told, Some((instance, cause)))
                 if told.as_ref().is_none_or(|(told, _)| *told != instance) =>
--- a/crates/front/src/member/duty.rs
+++ b/crates/front/src/member/duty.rs
@@ -150,8 +150,8 @@
         ttl: Duration,
         expected: Revision,
     ) -> Result<(), Error> {
-        let pause =
-            directory.with(|s| election::candidacy_delay(&self.id, s.live(), &mut rand::rng()));
+        let pause = directory
+            .with(|s| election::candidacy_delay(&self.id, s.proxy_ids(), &mut rand::rng()));
         compio::time::sleep(pause.as_duration()).await;
         let at = |record: &Record| record.revision;
         let taken = directory.with(|s| s.coordinator().map_or(Revision(0), at)) != expected;
@@ -165,7 +165,7 @@
         match kv::swap(client, COORDINATOR, expected, nonce, lease.id).await? {
             Outcome::Applied(revision) => {
                 tracing::info!(%revision, "this proxy coordinates changes of primary");
-                directory.note_coordinator(Record {
+                directory.update_coordinator(Record {
                     key: COORDINATOR.to_owned(),
                     value: nonce.to_vec(),
                     revision,
@@ -174,7 +174,7 @@
             Outcome::Conflict(held) => {
                 let ours = self.holder(held.as_ref()) == Holder::Ours;
                 if let Some(held) = held {
-                    directory.note_coordinator(held);
+                    directory.update_coordinator(held);
                 }
                 if !ours {
                     self.give_up(client, lease.id).await;
--- a/crates/front/src/member/report.rs
+++ b/crates/front/src/member/report.rs
@@ -27,14 +27,14 @@
     let mut looks = 0;
     loop {
         clock::sleep_until(clock::now() + LOOK).await;
-        let own = cx.concerns.own();
+        let own = cx.reports.own();
         looks += 1;
         let due = own != told || (!own.is_empty() && looks >= AGAIN);
         if !due {
             continue;
         }
         let heard = tell(&me, &cx, &directory, &own).await;
-        cx.concerns.set_heard(heard, clock::now());
+        cx.reports.set_heard(heard, clock::now());
         if heard {
             told = own;
             looks = 0;
@@ -48,7 +48,7 @@
         return false;
     };
     if coordinator == *me {
-        cx.concerns.told(me.clone(), own.clone(), clock::now());
+        cx.reports.told(me.clone(), own.clone(), clock::now());
         return true;
     }
     let Some(address) = directory.with(|s| s.relay(&coordinator)) else {
--- a/crates/front/src/pages.rs
+++ b/crates/front/src/pages.rs
@@ -79,7 +79,7 @@
 
 async fn text(cx: &Cx, store: &Client) -> String {
     let (mut waiting, mut connections) = (0, 0);
-    let concerns = cx.concerns.own();
+    let concerns = cx.reports.own();
     let doubts = concerns.values().filter(|c| c.doubt.is_some()).count();
     let lagging = concerns.values().filter(|c| c.lags).count();
     for group in cx.groups() {
--- a/crates/front/src/relay.rs
+++ b/crates/front/src/relay.rs
@@ -24,7 +24,7 @@
 use crate::clock;
 use crate::concern::Concerns;
 use crate::feed::Packed;
-use crate::group::Note;
+use crate::group::Feedback;
 
 pub use carrier::serve;
 pub use client::{Client, Miss, WayBack};
@@ -98,7 +98,7 @@
     took: Option<Span>,
     /// End of the instance's log, as its last answer showed it.
     shown: Option<Point>,
-    notes: Vec<Note>,
+    notes: Vec<Feedback>,
 }
 
 /// What an instance holds for a connection.
--- a/crates/front/src/relay/carrier.rs
+++ b/crates/front/src/relay/carrier.rs
@@ -13,7 +13,7 @@
 use crate::clock;
 use crate::conn::Conn;
 use crate::cx::Cx;
-use crate::group::{Lent, Note};
+use crate::group::{CheckedOut, Feedback};
 use crate::stop::Phase;
 use crate::stream::{self, Reader, StreamError, Writer};
 use platform::line;
@@ -61,8 +61,8 @@
         };
         writer.send(encode(&FromCarrier::Heard)).await?;
         // Counted like a session: the shutdown waits for what it carries.
-        let _entered = cx.enter();
-        match handle.ask(ask).await {
+        let _entered = cx.count_session();
+        match handle.request(ask).await {
             Ok(lent) => carry(lent, &mut reader, &mut writer).await?,
             Err(refused) if refused.reason == Reason::Unreachable => {
                 writer.send(encode(&FromCarrier::OutOfReach)).await?;
@@ -76,7 +76,7 @@
 async fn answer(cx: &Rc<Cx>, request: ToCarrier, writer: &mut Writer) -> Result<(), StreamError> {
     let answer = match request {
         ToCarrier::Report { by, concerns } => {
-            cx.concerns.told(by, concerns, clock::now());
+            cx.reports.told(by, concerns, clock::now());
             FromCarrier::Heard
         }
         ToCarrier::Follow { after, wait } => {
@@ -97,10 +97,10 @@
             point,
             left,
         } => {
-            let _entered = cx.enter();
+            let _entered = cx.count_session();
             let write = Write { primary, point };
             FromCarrier::Proved(match cx.group(&group) {
-                Some(handle) => handle.prove(write, clock::now() + left).await,
+                Some(handle) => handle.await_ack(write, clock::now() + left).await,
                 None => false,
             })
         }
@@ -113,14 +113,14 @@
 }
 
 async fn carry(
-    mut lent: Lent,
+    mut lent: CheckedOut,
     reader: &mut Reader,
     writer: &mut Writer,
 ) -> Result<(), StreamError> {
     let granted = FromCarrier::Granted {
         instance: lent.instance.clone(),
         after: lent.after,
-        prove: lent.prove,
+        prove: lent.verify_primary,
         held: lent.conn().map(|c| c.held()).unwrap_or_default(),
     };
     let since = clock::now();
@@ -135,7 +135,7 @@
         }
         Err(End::Instance(e)) => {
             tracing::info!(instance = %lent.instance, cause = %e, "a lent connection broke");
-            lent.note(Note::Silent);
+            lent.record_feedback(Feedback::Silent);
             Err(e)
         }
         // The borrower is gone; its transaction goes with the connection.
@@ -143,9 +143,9 @@
     }
 }
 
-fn settle(mut lent: Lent, since: Time, returned: Returned) {
+fn settle(mut lent: CheckedOut, since: Time, returned: Returned) {
     for note in returned.notes {
-        lent.note(note);
+        lent.record_feedback(note);
     }
     if !returned.usable {
         return;
@@ -155,7 +155,7 @@
         let proof = returned.proof.map(|point| Proof { since, point });
         conn.set_outcome(proof, returned.took, returned.shown);
     }
-    lent.give_back();
+    lent.release();
 }
 
 /// Why a loan ended without being given back.
--- a/crates/front/src/relay/client.rs
+++ b/crates/front/src/relay/client.rs
@@ -20,7 +20,7 @@
 use crate::concern::Concerns;
 use crate::conn::{Conn, ConnError};
 use crate::feed::PackError;
-use crate::group::{Lent, Note};
+use crate::group::{CheckedOut, Feedback};
 
 /// Connections to one carrier that stay open while no loan uses them.
 const MAX_IDLE: usize = 8;
@@ -86,7 +86,7 @@
         address: SocketAddr,
         group: &GroupId,
         ask: &ConnRequest,
-    ) -> Result<Lent, Miss> {
+    ) -> Result<CheckedOut, Miss> {
         let now = clock::now();
         let until = self.0.passed_over.borrow().get(carrier).copied();
         if until.is_some_and(|until| now < until) {
@@ -252,7 +252,7 @@
         address: SocketAddr,
         group: &GroupId,
         ask: &ConnRequest,
-    ) -> Result<Lent, Trouble> {
+    ) -> Result<CheckedOut, Trouble> {
         let request = to_wire(group, ask)
             .ok_or(Trouble::Elsewhere(pooler_retry::GrantFailure::Unreachable))?;
         let mut conn = match conn {
@@ -280,7 +280,7 @@
                     carrier: carrier.clone(),
                     group: group.clone(),
                 };
-                Ok(Lent::relayed(way_back, instance, after, prove, conn))
+                Ok(CheckedOut::relayed(way_back, instance, after, prove, conn))
             }
             FromCarrier::Refused(refused) => {
                 self.keep(carrier, conn);
@@ -295,7 +295,7 @@
         carrier: &ProxyId,
         conn: Conn,
         answer: &FromCarrier,
-    ) -> Result<Lent, Trouble> {
+    ) -> Result<CheckedOut, Trouble> {
         self.keep(carrier, conn);
         Err(Trouble::Elsewhere(match answer {
             FromCarrier::Starting => pooler_retry::GrantFailure::Starting,
@@ -322,7 +322,7 @@
     pub async fn prove(
         &self,
         mut conn: Conn,
-        notes: Vec<Note>,
+        notes: Vec<Feedback>,
         write: Write,
         give_up: Time,
     ) -> bool {
@@ -352,7 +352,7 @@
     }
 
     /// Gives a loan back; `usable` says whether the connection may be lent again.
-    pub fn give_back(&self, mut conn: Conn, usable: bool, notes: Vec<Note>) {
+    pub fn give_back(&self, mut conn: Conn, usable: bool, notes: Vec<Feedback>) {
         let returned = returned(&mut conn, usable, notes);
         let this = self.clone();
         compio::runtime::spawn(async move {
@@ -369,7 +369,7 @@
     }
 }
 
-fn returned(conn: &mut Conn, usable: bool, notes: Vec<Note>) -> Returned {
+fn returned(conn: &mut Conn, usable: bool, notes: Vec<Feedback>) -> Returned {
     Returned {
         usable,
         held: conn.held(),
--- a/crates/front/src/run.rs
+++ b/crates/front/src/run.rs
@@ -115,7 +115,7 @@
 /// Asks about changes of primary, of a neighbour where there is one.
 async fn serve_changes(directory: Directory, store: Client) {
     let changes = directory.changes();
-    let neighbour = |within| directory.hear_changes(within);
+    let neighbour = |within| directory.query_changes(within);
     changes.serve(store, neighbour).await;
 }
 
@@ -134,7 +134,7 @@
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                let (cx, entered) = (cx.clone(), cx.enter());
+                let (cx, entered) = (cx.clone(), cx.count_session());
                 compio::runtime::spawn(async move {
                     session::serve(cx, stream).await;
                     drop(entered);
--- a/crates/front/src/session/attempt.rs
+++ b/crates/front/src/session/attempt.rs
@@ -13,7 +13,7 @@
 use super::{Done, Failure, Job, Session};
 use crate::clock;
 use crate::conn::{self, Answer, ConnError, Setting, Setup, Values, What};
-use crate::group::{Lent, Note};
+use crate::group::{CheckedOut, Feedback};
 
 /// Attempts of one statement. An attempt is repeated only if the one before certainly did
 /// not run, or only read; each goes to another instance where there is one.
@@ -39,8 +39,8 @@
 
 impl Lost {
     /// Tells the group and the log.
-    pub(super) fn new(lent: &Lent, job: &Job, e: &ConnError) -> Self {
-        lent.note(Note::Silent);
+    pub(super) fn new(lent: &CheckedOut, job: &Job, e: &ConnError) -> Self {
+        lent.record_feedback(Feedback::Silent);
         tracing::warn!(id = %job.id, instance = %lent.instance, cause = %e, "an answer was lost");
         Self
     }
@@ -69,14 +69,14 @@
 /// Sends one statement and waits for its answer; `stalls` says that a late answer is a
 /// sign of a primary that cannot reach its replicas.
 pub(super) async fn send(
-    lent: &mut Lent,
+    lent: &mut CheckedOut,
     job: &Job,
     after: Option<Point>,
     what: &What,
     stalls: bool,
     limit: Span,
 ) -> Result<Answer, Lost> {
-    let (instance, note) = (lent.instance.clone(), lent.noter());
+    let (instance, note) = (lent.instance.clone(), lent.feedback_sender());
     let result = {
         let Some(conn) = lent.conn() else {
             return Err(Lost);
@@ -94,7 +94,7 @@
                 result = run => result,
                 () = slow => {
                     tracing::info!(id = %job.id, %instance, "a write has no answer yet");
-                    note(Note::WriteStalls);
+                    note(Feedback::WriteStalls);
                     run.await
                 }
             }
@@ -106,7 +106,7 @@
 }
 
 /// Notes that an answer shows the instance leading.
-pub(super) fn note_proof(lent: &mut Lent, since: Time, answer: &Answer) {
+pub(super) fn note_proof(lent: &mut CheckedOut, since: Time, answer: &Answer) {
     if let Some(conn) = lent.conn() {
         conn.note_proof(since, answer);
     }
@@ -115,12 +115,12 @@
 /// Gives a connection back and, if a time for it is given, waits for the proof that a replica
 /// holds the write that was answered on it.
 pub(super) async fn prove(
-    lent: Lent,
+    lent: CheckedOut,
     point: Option<Point>,
     until: Option<Time>,
 ) -> Result<(), Failure> {
     let Some(until) = until else {
-        lent.give_back();
+        lent.release();
         return Ok(());
     };
     let Some(point) = point else {
@@ -129,33 +129,33 @@
     };
     // An answer that comes at the end of the statement's time is delivered late.
     let until = until.max(clock::now() + PROOF_TIME);
-    match lent.prove(point, until).await {
+    match lent.release_and_await_ack(point, until).await {
         true => Ok(()),
         false => Err(Failure::Unproven),
     }
 }
 
 /// Tells the group what a refusal says about the instance.
-pub(super) fn learn(lent: &Lent, code: Code) {
+pub(super) fn learn(lent: &CheckedOut, code: Code) {
     match code {
-        Code::ReadOnly => lent.note(Note::ReadOnly),
+        Code::ReadOnly => lent.record_feedback(Feedback::ReadOnly),
         Code::Behind => {
             if let Some(point) = lent.after {
-                lent.note(Note::Lacks(point));
+                lent.record_feedback(Feedback::Lacks(point));
             }
         }
-        Code::Busy => lent.note(Note::Busy),
+        Code::Busy => lent.record_feedback(Feedback::Busy),
         _ => {}
     }
 }
 
 /// Gives a connection back on which a transaction was refused: it is as it was before.
 /// After any other refusal nobody knows what the instance holds for it, and it is closed.
-pub(super) fn after_refusal(mut lent: Lent, code: Code) {
+pub(super) fn after_refusal(mut lent: CheckedOut, code: Code) {
     let refused_begin = matches!(code, Code::Behind | Code::ReadOnly | Code::Busy);
     let idle = lent.conn().is_some_and(|c| c.is_idle());
     if refused_begin && idle {
-        lent.give_back();
+        lent.release();
     }
 }
 
@@ -301,12 +301,12 @@
 
 impl Sending<'_> {
     /// Runs the statement on a connection and gives the connection back.
-    pub(super) async fn run(&self, mut lent: Lent) -> Result<Done, Miss> {
+    pub(super) async fn run(&self, mut lent: CheckedOut) -> Result<Done, Miss> {
         let setup = Setup {
             values: Some(self.values),
             shape: self.what.shape(),
             begin: None,
-            prove: lent.prove,
+            prove: lent.verify_primary,
         };
         let after = lent.after;
         let Some(conn) = lent.conn() else {
@@ -331,11 +331,16 @@
         self.settle(lent, since, answer).await
     }
 
-    async fn settle(&self, mut lent: Lent, since: Time, answer: Answer) -> Result<Done, Miss> {
+    async fn settle(
+        &self,
+        mut lent: CheckedOut,
+        since: Time,
+        answer: Answer,
+    ) -> Result<Done, Miss> {
         let Some(code) = answer.code else {
             if self.access == Access::Write {
                 note_proof(&mut lent, since, &answer);
-                lent.note(Note::Wrote);
+                lent.record_feedback(Feedback::Wrote);
             }
             let done = Done {
                 lines: answer.lines,
@@ -354,7 +359,7 @@
             conn.forget_prepared();
         }
         if answer.state == TxState::Idle {
-            lent.give_back();
+            lent.release();
         }
         let not_run = matches!(
             code,
--- a/crates/front/src/session/read.rs
+++ b/crates/front/src/session/read.rs
@@ -16,7 +16,7 @@
 use super::{Done, Failure, Job, Session};
 use crate::clock;
 use crate::conn::{Values, What};
-use crate::group::Lent;
+use crate::group::CheckedOut;
 
 /// Time after which a read without an answer is tried on another instance as well. Load:
 /// an instance that went dark, or loses answers. Harm without it: each such read waits for
@@ -87,7 +87,7 @@
     }
 }
 
-fn run(job: Job, what: What, values: Rc<Values>, limit: Span, lent: Lent) -> Running {
+fn run(job: Job, what: What, values: Rc<Values>, limit: Span, lent: CheckedOut) -> Running {
     Box::pin(async move {
         let sending = Sending {
             job: &job,
--- a/crates/front/src/session/tx.rs
+++ b/crates/front/src/session/tx.rs
@@ -9,7 +9,7 @@
 use super::{Done, Failure, Job, Session};
 use crate::clock;
 use crate::conn::{Setting, Setup, What};
-use crate::group::{Lent, Note};
+use crate::group::{CheckedOut, Feedback};
 
 /// Longest wait for a connection to drop a transaction; then it is closed, which drops
 /// the transaction as well.
@@ -35,7 +35,7 @@
 }
 
 pub(super) struct Open {
-    lent: Lent,
+    lent: CheckedOut,
     route: Route,
     wrote: bool,
     access: Access,
@@ -96,7 +96,7 @@
         let limit = ROLL_BACK_LIMIT.as_duration();
         let Some(conn) = self.lent.conn() else { return };
         match conn.roll_back(limit).await {
-            Ok(()) => self.lent.give_back(),
+            Ok(()) => self.lent.release(),
             Err(e) => {
                 // Dropping the connection closes it, and the instance drops the work.
                 tracing::info!(instance = %self.lent.instance, cause = %e, "a transaction was dropped with its connection");
@@ -162,7 +162,7 @@
                     if open.wrote {
                         self.own = self.own.max(answer.point);
                         attempt::note_proof(&mut open.lent, since, &answer);
-                        open.lent.note(Note::Wrote);
+                        open.lent.record_feedback(Feedback::Wrote);
                     }
                     let done = Done {
                         lines: answer.lines,
@@ -178,10 +178,10 @@
                 }
                 Some(code) => {
                     if code == Code::ReadOnly {
-                        open.lent.note(Note::ReadOnly);
+                        open.lent.record_feedback(Feedback::ReadOnly);
                     }
                     if answer.state == TxState::Idle {
-                        open.lent.give_back();
+                        open.lent.release();
                     } else {
                         Box::new(open).drop_work().await;
                     }
@@ -241,7 +241,7 @@
                 None => {
                     if open.access == Access::Write {
                         attempt::note_proof(&mut open.lent, since, &answer);
-                        open.lent.tell_proof();
+                        open.lent.report_proof();
                     }
                     return Ok(Done {
                         lines: answer.lines,
@@ -254,7 +254,7 @@
                 }
                 Some(code) => {
                     if code == Code::ReadOnly {
-                        open.lent.note(Note::ReadOnly);
+                        open.lent.record_feedback(Feedback::ReadOnly);
                     }
                     return Err(Failure::Instance(code));
                 }
@@ -294,14 +294,14 @@
                 values: Some(&self.values),
                 shape,
                 begin: Some((access, lent.after)),
-                prove: lent.prove,
+                prove: lent.verify_primary,
             };
-            let (after, prove) = (lent.after, lent.prove);
+            let (after, prove) = (lent.after, lent.verify_primary);
             let Some(conn) = lent.conn() else { continue };
             let set = conn.set_up(setup, route.time_limit.as_duration()).await;
             match set {
                 Ok(Setting::Ready) => {
-                    lent.tell_proof();
+                    lent.report_proof();
                     let open = Open {
                         lent,
                         route: route.clone(),
--- a/crates/front/tests/directory.rs
+++ b/crates/front/tests/directory.rs
@@ -1,6 +1,6 @@
 //! What the store's keys mean for the proxy, without a store.
 
-use front::directory::{Call, State};
+use front::directory::{IntentKind, State};
 use model::id::GroupId;
 use model::position::Revision;
 use model::unit::{Span, Time};
@@ -31,7 +31,7 @@
 }
 
 fn members(state: &State) -> Vec<(String, bool)> {
-    let members = state.members(&"ledger".parse::<GroupId>().unwrap());
+    let members = state.instances(&"ledger".parse::<GroupId>().unwrap());
     let member = |(entry, listed): (model::entry::Entry, bool)| (entry.id.to_string(), listed);
     members.into_iter().map(member).collect()
 }
@@ -108,16 +108,28 @@
 fn a_pending_resume_lapses_after_the_longest_delay() {
     let group: GroupId = "ledger".parse().unwrap();
     let mut state = State::default();
-    state.note(Call::Receive, group.clone(), Revision(5), Vec::new(), START);
+    state.put_intent(
+        IntentKind::Receive,
+        group.clone(),
+        Revision(5),
+        Vec::new(),
+        START,
+    );
     assert!(state.resume_pending(&group, START + Span::from_millis(12_500)));
     let late = START + Span::from_millis(13_500);
     assert!(!state.resume_pending(&group, late));
     assert_eq!(
-        state.note_expired(Call::Receive, &group, late),
+        state.expired_intent(IntentKind::Receive, &group, late),
         Some(Revision(5))
     );
-    state.note(Call::Receive, group.clone(), Revision(8), Vec::new(), late);
-    state.forget_note(Call::Receive, &group, Revision(7));
+    state.put_intent(
+        IntentKind::Receive,
+        group.clone(),
+        Revision(8),
+        Vec::new(),
+        late,
+    );
+    state.forget_intent(IntentKind::Receive, &group, Revision(7));
     assert!(state.resume_pending(&group, late));
 }
 
@@ -127,8 +139,8 @@
 fn a_note_outlives_a_listing_from_before_it() {
     let group: GroupId = "ledger".parse().unwrap();
     let mut state = State::default();
-    state.note(
-        Call::Lead,
+    state.put_intent(
+        IntentKind::Lead,
         group.clone(),
         Revision(120),
         b"i-a".to_vec(),
@@ -151,19 +163,19 @@
 fn an_order_for_a_replaced_instance_is_void() {
     let group: GroupId = "ledger".parse().unwrap();
     let mut state = state(vec![entry("i-a", 1, 10)]);
-    state.note(
-        Call::Lead,
+    state.put_intent(
+        IntentKind::Lead,
         group.clone(),
         Revision(120),
         b"i-a".to_vec(),
         START,
     );
-    assert_eq!(state.order_replaced(&group, START), None);
+    assert_eq!(state.replaced_order(&group, START), None);
     let gone = Change::Delete("servers/i-a".to_owned(), Revision(150));
     state.apply(change(gone), START);
-    assert_eq!(state.order_replaced(&group, START), None);
+    assert_eq!(state.replaced_order(&group, START), None);
     state.apply(change(Change::Put(entry("i-c", 1, 20))), START);
-    assert_eq!(state.order_replaced(&group, START), Some(Revision(120)));
+    assert_eq!(state.replaced_order(&group, START), Some(Revision(120)));
 }
 
 /// What is logged while `act` runs.
--- a/crates/front/tests/feed.rs
+++ b/crates/front/tests/feed.rs
@@ -1,6 +1,6 @@
 //! What a proxy tells the neighbours that follow it, without a store.
 
-use front::feed::{Feed, Touch};
+use front::feed::{Feed, StoreAccess};
 use model::position::Revision;
 use model::unit::Span;
 use store::kv::{Listing, Record};
@@ -32,7 +32,7 @@
 fn questions_that_ended_are_not_kept() {
     block_on(async {
         let feed = Feed::default();
-        feed.set_touch(Touch::Reads);
+        feed.set_access(StoreAccess::Reads);
         feed.take(&listing(7));
         for _ in 0..50 {
             let told = feed.after(Revision(7), Span::from_millis(1)).await;
@@ -50,7 +50,7 @@
         let feed = Feed::default();
         let asked = feed.after(Revision(0), Span::from_millis(10_000));
         let learns = async {
-            feed.set_touch(Touch::Reads);
+            feed.set_access(StoreAccess::Reads);
             feed.take(&listing(7));
         };
         let (told, ()) = futures_util::future::join(asked, learns).await;
@@ -71,10 +71,10 @@
 fn a_reader_that_lost_the_store_says_so_at_once() {
     block_on(async {
         let feed = Feed::default();
-        feed.set_touch(Touch::Reads);
+        feed.set_access(StoreAccess::Reads);
         feed.take(&listing(7));
         let asked = feed.after(Revision(7), Span::from_millis(60_000));
-        let loses = async { feed.set_touch(Touch::Lost) };
+        let loses = async { feed.set_access(StoreAccess::Lost) };
         let (told, ()) = futures_util::future::join(asked, loses).await;
         assert!(told.is_none());
     });
--- a/crates/front/tests/intents.rs
+++ b/crates/front/tests/intents.rs
@@ -5,7 +5,7 @@
 
 use front::clock;
 use front::cx::Cx;
-use front::directory::{COORDINATOR, Call, Directory, NoteError};
+use front::directory::{COORDINATOR, Directory, IntentError, IntentKind};
 use front::metrics::Metrics;
 use front::place::Ways;
 use front::stop;
@@ -44,7 +44,7 @@
     let directory = Directory::new(cx, me, changed, Duration::from_secs(4), |_| true);
     let held = held(&client).await;
     let duty = held.revision;
-    directory.note_coordinator(held);
+    directory.update_coordinator(held);
     (managed, client, directory, duty)
 }
 
@@ -56,18 +56,20 @@
 /// Guards against a call by a former coordinator that its successor does not know of, since it
 /// has read the store already: it would count a replica as stopped that is told to receive, or
 /// name another instance. It holds also once the former one has heard of the successor.
-#[test_case(Call::Receive, false; "order to receive")]
-#[test_case(Call::Lead, false; "order to lead")]
-#[test_case(Call::Receive, true; "order to receive, successor known")]
-#[test_case(Call::Lead, true; "order to lead, successor known")]
-fn a_former_coordinator_notes_no_order(call: Call, knows: bool) {
+#[test_case(IntentKind::Receive, false; "order to receive")]
+#[test_case(IntentKind::Lead, false; "order to lead")]
+#[test_case(IntentKind::Receive, true; "order to receive, successor known")]
+#[test_case(IntentKind::Lead, true; "order to lead, successor known")]
+fn a_former_coordinator_notes_no_order(call: IntentKind, knows: bool) {
     block_on(async {
         let (managed, client, directory, duty) = coordinator().await;
         managed.put(COORDINATOR, b"p2 01");
         if knows {
-            directory.note_coordinator(held(&client).await);
+            directory.update_coordinator(held(&client).await);
         }
-        let noted = directory.note(&client, duty, call, &group(), b"i-1").await;
+        let noted = directory
+            .record_intent(&client, duty, call, &group(), b"i-1")
+            .await;
         assert!(noted.is_err(), "{noted:?}");
         assert!(managed.keys("pomelo/order/").is_empty());
         assert!(managed.keys("pomelo/resume/").is_empty());
@@ -82,8 +84,8 @@
         let (managed, client, directory, duty) = coordinator().await;
         let group = group();
         managed.put("pomelo/order/ledger", b"i-0");
-        let note = || directory.note(&client, duty, Call::Lead, &group, b"i-1");
-        assert!(matches!(note().await, Err(NoteError::Other)));
+        let note = || directory.record_intent(&client, duty, IntentKind::Lead, &group, b"i-1");
+        assert!(matches!(note().await, Err(IntentError::Other)));
         let pending = directory.with(|s| s.order_pending(&group, clock::now()));
         assert_eq!(pending, Some("i-0".parse().unwrap()));
     });
@@ -95,7 +97,7 @@
     block_on(async {
         let (managed, client, directory, duty) = coordinator().await;
         let group = group();
-        let note = || directory.note(&client, duty, Call::Lead, &group, b"i-1");
+        let note = || directory.record_intent(&client, duty, IntentKind::Lead, &group, b"i-1");
         let first = note().await.unwrap();
         let key = "pomelo/order/ledger";
         kv::delete(&client, key, first).await.unwrap();
--- a/crates/front/tests/report.rs
+++ b/crates/front/tests/report.rs
@@ -52,7 +52,7 @@
                     .await
             );
         }
-        let about = cx.concerns.about(&group(), clock::now());
+        let about = cx.reports.about(&group(), clock::now());
         assert_eq!(about, [(proxy("p"), doubt()[&group()].clone())]);
         let nobody: SocketAddr = "127.0.0.1:9".parse().unwrap();
         assert!(
