--- a/crates/front/src/group.rs
+++ b/crates/front/src/group.rs
@@ -1,5 +1,5 @@
-//! The task of one group: it owns the pool of connections, looks after the primary, and
-//! carries out what the pool decides.
+//! The task of one group: it owns the connection pool, monitors the primary, and executes
+//! the actions that the pool returns.
 
 mod checked_out;
 mod handle;
@@ -27,52 +27,52 @@
 use crate::place::Ways;
 pub use checked_out::CheckedOut;
 pub use handle::Handle;
-use replica_ack::Prover;
+use replica_ack::AckCollector;
 
-/// Longest time for opening a connection. Load: an instance whose slots are full makes a
-/// handshake wait behind some statements; harm of a shorter one: half-open connections.
-const OPEN_LIMIT: Duration = Duration::from_millis(600);
+/// Timeout for opening a connection. On an instance whose slots are full, the handshake waits
+/// behind some statements; a shorter timeout would leave half-open connections.
+const OPEN_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// Time between two looks at the pool and the primary.
+/// Interval between two checks of the pool and the primary.
 const TICK: Span = Span::from_millis(50);
 
-/// Time for which no replica must have held what reads need before the coordinator is
-/// told. Shorter takes a burst of writes for a lag.
-const LAGS: Span = Span::from_millis(300);
+/// Time for which no replica has held the point that reads need before this is reported to
+/// the coordinator. A shorter time would report a mere burst of writes as a lag.
+const LAG_REPORT_AFTER: Span = Span::from_millis(300);
 
-/// Pause between two looks at the connections that count.
-const PREPARE_PAUSE: Span = Span::from_millis(500);
+/// Interval between two checks that each replica has an eligible connection.
+const PREPARE_INTERVAL: Span = Span::from_millis(500);
 
 type Reply = flume::Sender<Result<Grant<Conn>, Rejection>>;
 
 /// A message to the group's task.
 enum Message {
-    Ask(ConnRequest, Reply),
-    GiveBack(Returned),
+    Request(ConnRequest, Reply),
+    Returned(Returned),
     Opened(InstanceId, Result<Conn, OpenError>),
-    /// Announced instances, and since when they may have been so.
+    /// Announced instances, and the time from which they may have been announced.
     Entries(Vec<Entry>, Time),
     Shares(Shares),
     Probed(probe::Report),
     Feedback(InstanceId, Feedback),
     View(flume::Sender<View>),
     Replicas(flume::Sender<Vec<Replica>>),
-    Primary(InstanceId),
-    Release,
+    ExpectPrimary(InstanceId),
+    RejectUnreachable,
 }
 
-/// What a session learned about an instance.
+/// What a session observed on an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum Feedback {
-    /// It may not write.
+    /// It rejected a write: it is no primary.
     ReadOnly,
-    /// Its log lacked this point.
+    /// Its log does not reach this point.
     Lacks(Point),
-    /// It had no slot and no room to wait.
+    /// Its slots and its queue were full.
     Busy,
-    /// It did not answer, or the connection broke.
+    /// It did not respond, or the connection broke.
     Silent,
-    /// A write has been without an answer for long.
+    /// A write has had no reply for a long time.
     WriteStalls,
     /// A write was acknowledged.
     Wrote,
@@ -82,62 +82,62 @@
     instance: InstanceId,
     conn: Option<Conn>,
     proof: Option<Proof>,
-    took: Option<Span>,
-    shown: Option<Point>,
+    service_time: Option<Span>,
+    log_end: Option<Point>,
 }
 
-/// Who holds connections to the group's instances.
+/// How the connections to the group's instances are divided among proxies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Shares {
     /// Connections that one instance accepts.
     pub connections: u32,
-    /// Proxies that hold some.
+    /// Number of proxies that hold connections.
     pub holders: u32,
     /// Whether this proxy is one of them.
     pub is_holder: bool,
 }
 
-/// What the task knows, for those who ask.
+/// A snapshot of the task's state.
 #[derive(Clone, Debug, Default)]
 pub struct View {
-    /// The instance that last proved that it leads.
+    /// The instance with the newest proof that it is the primary.
     pub primary: Option<InstanceId>,
-    /// End of the primary's log, as seen last.
+    /// Last known end of the primary's log.
     pub end: Option<Point>,
     /// Statements that wait for a connection.
     pub waiting: usize,
-    /// Connections open or lent.
+    /// Connections that are open or checked out.
     pub connections: u32,
 }
 
-/// What a group's tasks work with.
+/// What a group's tasks need.
 pub struct Setup {
     /// Which group.
     pub group: GroupId,
-    /// How far data centres are apart.
+    /// Round trips between data centres.
     pub distances: Ways,
     /// Metrics of the process.
     pub metrics: Metrics,
-    /// Where the tasks put up what is wrong with the group.
+    /// Where the task publishes problems of the group.
     pub reports: concern::Board,
-    /// Tells whether a change of primary is under way.
+    /// Groups with a change of primary under way.
     pub changes: Changes,
 }
 
 struct Group {
     id: Rc<GroupId>,
     pool: Pool<Conn, Reply>,
-    watch: PrimaryMonitor,
+    monitor: PrimaryMonitor,
     /// Whether this proxy holds connections of its own.
-    own: bool,
-    /// Whether it is known who holds connections.
-    shared: bool,
+    is_holder: bool,
+    /// Whether the proxies that hold connections are known.
+    shares_known: bool,
     distances: Ways,
     metrics: Metrics,
     reports: concern::Board,
     changes: Changes,
-    /// When to see next to connections that count.
-    prepare_at: Time,
+    /// When to check next for eligible connections.
+    prepare_acks_at: Time,
     tx: flume::Sender<Message>,
 }
 
@@ -155,25 +155,25 @@
     let task = Group {
         id: id.clone(),
         pool: Pool::new().prefer_oldest(Conn::opened),
-        watch: PrimaryMonitor::default(),
-        own: true,
-        shared: false,
+        monitor: PrimaryMonitor::default(),
+        is_holder: true,
+        shares_known: false,
         distances,
         metrics,
         reports,
         changes: changes.clone(),
-        prepare_at: Time::default(),
+        prepare_acks_at: Time::default(),
         tx: tx.clone(),
     };
     compio::runtime::spawn(task.run(rx)).detach();
-    let (proofs, requests) = flume::unbounded();
+    let (acks, requests) = flume::unbounded();
     let handle = Handle {
         tx,
-        proofs,
+        acks,
         group: id.clone(),
     };
-    let prover = Prover::new(id, handle.clone(), changes);
-    compio::runtime::spawn(prover.run(requests)).detach();
+    let collector = AckCollector::new(id, handle.clone(), changes);
+    compio::runtime::spawn(collector.run(requests)).detach();
     handle
 }
 
@@ -193,7 +193,7 @@
             };
             let now = clock::now();
             if let Some(message) = message {
-                self.take(message, now);
+                self.handle_message(message, now);
             }
             if now >= tick || now >= due {
                 let actions = self.pool.tick(now);
@@ -201,31 +201,31 @@
             }
             if now >= tick {
                 tick = now + TICK;
-                self.look(now);
-                self.voice(now);
-                self.prepare(now);
+                self.probe_due(now);
+                self.publish_report(now);
+                self.prepare_acks(now);
             }
         }
     }
 
-    fn take(&mut self, message: Message, now: Time) {
+    fn handle_message(&mut self, message: Message, now: Time) {
         let actions = match message {
-            Message::Ask(ask, reply) => self.pool.request(ask, reply, now),
-            Message::GiveBack(returned) => self.returned(returned, now),
+            Message::Request(request, reply) => self.pool.request(request, reply, now),
+            Message::Returned(returned) => self.connection_returned(returned, now),
             Message::Opened(id, result) => {
                 if matches!(result, Err(OpenError::Unreachable)) {
-                    self.pool.pause_reads(&id, now + probe::REST);
+                    self.pool.pause_reads(&id, now + probe::READ_PAUSE);
                 }
                 self.pool.open_completed(&id, result, now)
             }
-            Message::Entries(entries, since) => self.entries(&entries, since, now),
+            Message::Entries(entries, since) => self.set_entries(&entries, since, now),
             Message::Shares(shares) => {
-                self.share(shares);
+                self.set_shares(shares);
                 Vec::new()
             }
-            Message::Probed(report) => self.probed(report, now),
-            Message::Feedback(id, note) => {
-                self.noted(&id, note, now);
+            Message::Probed(report) => self.probe_ended(report, now),
+            Message::Feedback(id, feedback) => {
+                self.apply_feedback(&id, feedback, now);
                 Vec::new()
             }
             Message::View(reply) => {
@@ -236,31 +236,31 @@
                 let _ = reply.send(self.replicas());
                 Vec::new()
             }
-            Message::Release => self.pool.reject_unreachable(now),
-            Message::Primary(id) => {
-                self.watch.expect_primary(&id);
-                self.look(now);
+            Message::RejectUnreachable => self.pool.reject_unreachable(now),
+            Message::ExpectPrimary(id) => {
+                self.monitor.expect_primary(&id);
+                self.probe_due(now);
                 Vec::new()
             }
         };
         self.act(actions);
     }
 
-    fn returned(&mut self, returned: Returned, now: Time) -> Vec<Action<Conn, Reply>> {
+    fn connection_returned(&mut self, returned: Returned, now: Time) -> Vec<Action<Conn, Reply>> {
         if let Some(proof) = returned.proof {
-            self.proved(&returned.instance, proof);
+            self.record_proof(&returned.instance, proof);
         }
-        if let Some(point) = returned.shown {
+        if let Some(point) = returned.log_end {
             self.pool.record_log_end(&returned.instance, point);
         }
         let conn = returned.conn;
         self.pool
-            .release(&returned.instance, conn, returned.took, now)
+            .release(&returned.instance, conn, returned.service_time, now)
     }
 
-    fn proved(&mut self, id: &InstanceId, proof: Proof) {
-        if self.watch.record_proof(id, proof.since) {
-            tracing::info!(group = %self.id, instance = %id, "the primary is well again");
+    fn record_proof(&mut self, id: &InstanceId, proof: Proof) {
+        if self.monitor.record_proof(id, proof.since) {
+            tracing::info!(group = %self.id, instance = %id, "the primary is no longer suspected");
         }
         if self.pool.record_proof(id, proof) {
             tracing::info!(
@@ -268,59 +268,64 @@
                 instance = %id,
                 point = %proof.point,
                 asked = %proof.since,
-                "an instance proved that it leads"
+                "an instance proved that it is the primary"
             );
         }
     }
 
-    fn disproved(&mut self, id: &InstanceId, cause: &'static str) {
+    fn clear_primary(&mut self, id: &InstanceId, cause: &'static str) {
         if self.pool.clear_primary(id) {
-            tracing::warn!(group = %self.id, instance = %id, cause, "the primary is no longer taken to lead");
+            tracing::warn!(group = %self.id, instance = %id, cause, "the primary is no longer known");
         }
     }
 
-    fn entries(&mut self, entries: &[Entry], since: Time, now: Time) -> Vec<Action<Conn, Reply>> {
+    fn set_entries(
+        &mut self,
+        entries: &[Entry],
+        since: Time,
+        now: Time,
+    ) -> Vec<Action<Conn, Reply>> {
         let distances = self.distances.clone();
-        let way = |e: &Entry| distances.round_trip(&e.data_centre);
-        let actions = self.pool.set_entries_since(entries, way, since, now);
-        self.watch.set_entries(entries);
-        self.look(now);
+        let round_trip = |e: &Entry| distances.round_trip(&e.data_centre);
+        let actions = self.pool.set_entries_since(entries, round_trip, since, now);
+        self.monitor.set_entries(entries);
+        self.probe_due(now);
         actions
     }
 
-    fn share(&mut self, shares: Shares) {
+    fn set_shares(&mut self, shares: Shares) {
         let Shares {
             connections,
             holders,
             is_holder,
         } = shares;
         self.pool.set_shares(connections, holders, is_holder);
-        if self.own != shares.is_holder {
-            if self.shared {
-                tracing::info!(group = %self.id, own = shares.is_holder, holders = shares.holders, "who holds connections has changed");
+        if self.is_holder != shares.is_holder {
+            if self.shares_known {
+                tracing::info!(group = %self.id, own = shares.is_holder, holders = shares.holders, "the proxies that hold connections have changed");
             }
-            self.own = shares.is_holder;
-            // A proxy that no longer looks must not go on doubting.
-            self.watch.reset();
+            self.is_holder = shares.is_holder;
+            // A proxy that no longer probes the primary must not keep suspecting it.
+            self.monitor.reset();
         }
-        self.shared = true;
+        self.shares_known = true;
     }
 
-    fn noted(&mut self, id: &InstanceId, note: Feedback, now: Time) {
-        match note {
+    fn apply_feedback(&mut self, id: &InstanceId, feedback: Feedback, now: Time) {
+        match feedback {
             Feedback::ReadOnly => {
-                self.disproved(id, "it refused a write");
-                self.look(now);
+                self.clear_primary(id, "it rejected a write");
+                self.probe_due(now);
             }
             Feedback::Busy => self.pool.record_overload(id, now),
             Feedback::Lacks(point) => self.pool.record_lack(id, point, now),
             Feedback::Silent => {
-                self.pool.pause_reads(id, now + probe::REST);
-                self.watch.connection_failed(id, now);
-                self.look(now);
+                self.pool.pause_reads(id, now + probe::READ_PAUSE);
+                self.monitor.connection_failed(id, now);
+                self.probe_due(now);
             }
-            Feedback::WriteStalls => self.watch.record_stall(id, now),
-            Feedback::Wrote => self.watch.record_write(id),
+            Feedback::WriteStalls => self.monitor.record_stall(id, now),
+            Feedback::Wrote => self.monitor.record_write(id),
         }
     }
 
@@ -344,17 +349,17 @@
         others.map(replica).collect()
     }
 
-    /// Sees to it that there is a connection that counts to each replica before it is needed:
-    /// opens one, and asks the store.
+    /// Keeps an eligible connection to each replica before it is needed: opens missing ones,
+    /// and refreshes the pending changes from the store.
     ///
-    /// Load: a primary is lost, and the replica that proved writes leads next. Harm without it:
-    /// connections to the other one do not count before the change is over, and the first
-    /// writes are in doubt.
-    fn prepare(&mut self, now: Time) {
-        if now < self.prepare_at {
+    /// When a primary is lost, the replica that acknowledged writes becomes the next primary.
+    /// Without this, connections to the other replica would be eligible only after the change
+    /// is over, and the first writes would be in doubt.
+    fn prepare_acks(&mut self, now: Time) {
+        if now < self.prepare_acks_at {
             return;
         }
-        self.prepare_at = now + PREPARE_PAUSE;
+        self.prepare_acks_at = now + PREPARE_INTERVAL;
         let actions = self.pool.open_missing(now);
         self.act(actions);
         let is_eligible = |opened| self.changes.is_eligible(&self.id, opened);
@@ -363,14 +368,14 @@
         }
     }
 
-    /// Puts up what is wrong with the group, if anything is.
-    fn voice(&self, now: Time) {
-        let lags_for = self.pool.lagging_for(now);
-        let concern = Concern {
-            doubt: self.watch.suspicion(now),
-            lags: lags_for.is_some_and(|lags| lags >= LAGS),
+    /// Publishes whether the primary is suspected and whether replicas lag.
+    fn publish_report(&self, now: Time) {
+        let lagging_for = self.pool.lagging_for(now);
+        let report = Concern {
+            doubt: self.monitor.suspicion(now),
+            lags: lagging_for.is_some_and(|lagging| lagging >= LAG_REPORT_AFTER),
         };
-        self.reports.set_own(&self.id, concern);
+        self.reports.set_own(&self.id, report);
     }
 
     fn act(&mut self, actions: Vec<Action<Conn, Reply>>) {
@@ -384,8 +389,8 @@
                         queue.extend(self.pool.release(&id, Some(grant.conn), None, now));
                     }
                 }
-                Action::Reject(reply, refused) => {
-                    let _ = reply.send(Err(refused));
+                Action::Reject(reply, rejection) => {
+                    let _ = reply.send(Err(rejection));
                 }
                 Action::Open(id) => self.open(&id),
                 Action::Close(conn) => compio::runtime::spawn(conn.close()).detach(),
@@ -401,21 +406,21 @@
         let (tx, group, id) = (self.tx.clone(), self.id.clone(), id.clone());
         let metrics = self.metrics.clone();
         compio::runtime::spawn(async move {
-            let opened = Conn::open(address, &group, &id, OPEN_LIMIT).await;
+            let opened = Conn::open(address, &group, &id, OPEN_TIMEOUT).await;
             metrics.opened(opened.is_ok());
-            let result = opened.map_err(|e| open_fault(&group, &id, &e));
+            let result = opened.map_err(|e| open_error(&group, &id, &e));
             let _ = tx.send(Message::Opened(id, result));
         })
         .detach();
     }
 }
 
-fn open_fault(group: &GroupId, id: &InstanceId, e: &ConnError) -> OpenError {
+fn open_error(group: &GroupId, id: &InstanceId, e: &ConnError) -> OpenError {
     let full = matches!(
         e,
         ConnError::Refused(model::statement::Code::TooManyConnections)
     );
-    tracing::info!(%group, instance = %id, cause = %e, "no connection could be opened");
+    tracing::info!(%group, instance = %id, cause = %e, "a connection could not be opened");
     if full {
         OpenError::Full
     } else {
--- a/crates/front/src/group/checked_out.rs
+++ b/crates/front/src/group/checked_out.rs
@@ -1,4 +1,4 @@
-//! A connection on loan.
+//! A connection that is checked out of a pool.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -13,31 +13,31 @@
 use crate::conn::Conn;
 use crate::relay::WayBack;
 
-/// A connection on loan; dropping it unreturned counts it as lost.
+/// A checked-out connection; one that is dropped without a release counts as lost.
 pub struct CheckedOut {
-    home: Home,
-    /// Whose connection it is.
+    origin: Origin,
+    /// The instance that it is connected to.
     pub instance: InstanceId,
-    /// The read must carry this point.
+    /// The position that the log must have reached before a read.
     pub after: Option<Point>,
-    /// The instance must first prove that it leads.
+    /// Whether the instance must first prove that it is the primary.
     pub verify_primary: bool,
     conn: Option<Conn>,
 }
 
-/// Where a connection comes from.
-enum Home {
-    /// The group's task of this process.
-    Here(Handle),
-    /// Another proxy; what was learned goes back with the connection.
+/// The pool that a connection belongs to.
+enum Origin {
+    /// The pool of the group's task in this process.
+    Local(Handle),
+    /// The pool of another proxy; feedback is sent when the connection is returned.
     Relayed(WayBack, Rc<RefCell<Vec<Feedback>>>),
 }
 
 impl CheckedOut {
-    /// A loan of this process's own.
-    pub(super) fn here(handle: Handle, grant: Grant<Conn>) -> Self {
+    /// A connection from the pool of this process.
+    pub(super) fn local(handle: Handle, grant: Grant<Conn>) -> Self {
         Self {
-            home: Home::Here(handle),
+            origin: Origin::Local(handle),
             instance: grant.instance,
             after: grant.after,
             verify_primary: grant.verify_primary,
@@ -45,7 +45,7 @@
         }
     }
 
-    /// A loan of another proxy.
+    /// A connection from the pool of another proxy.
     pub fn relayed(
         way_back: WayBack,
         instance: InstanceId,
@@ -54,7 +54,7 @@
         conn: Conn,
     ) -> Self {
         Self {
-            home: Home::Relayed(way_back, Rc::default()),
+            origin: Origin::Relayed(way_back, Rc::default()),
             instance,
             after,
             verify_primary,
@@ -72,16 +72,16 @@
         self.conn.as_ref().map(Conn::opened)
     }
 
-    /// Gives the connection back for others to use.
+    /// Returns the connection to its pool for reuse.
     pub fn release(mut self) {
         if let Some(conn) = self.conn.take() {
-            self.send(conn, true);
+            self.return_conn(conn, true);
         }
     }
 
-    /// Gives the connection back after a write, and waits until a replica is known to hold
-    /// it; `false` if none is until `give_up`.
-    pub async fn release_and_await_ack(mut self, point: Point, give_up: Time) -> bool {
+    /// Returns the connection after a write, and waits until a replica acknowledges the write;
+    /// `false` if none does before `deadline`.
+    pub async fn release_and_await_ack(mut self, point: Point, deadline: Time) -> bool {
         let Some(conn) = self.conn.take() else {
             return false;
         };
@@ -89,65 +89,65 @@
             primary: self.instance.clone(),
             point,
         };
-        match &self.home {
-            Home::Here(handle) => {
+        match &self.origin {
+            Origin::Local(handle) => {
                 let handle = handle.clone();
-                self.send(conn, true);
-                handle.await_ack(write, give_up).await
+                self.return_conn(conn, true);
+                handle.await_ack(write, deadline).await
             }
-            Home::Relayed(way_back, notes) => {
-                let notes = notes.take();
-                way_back.prove(conn, notes, write, give_up).await
+            Origin::Relayed(way_back, feedback) => {
+                let feedback = feedback.take();
+                way_back.prove(conn, feedback, write, deadline).await
             }
         }
     }
 
-    /// Tells what the session learned about the instance.
-    pub fn record_feedback(&self, note: Feedback) {
-        self.feedback_sender()(note);
+    /// Passes on what the session observed on the instance.
+    pub fn record_feedback(&self, feedback: Feedback) {
+        self.feedback_sender()(feedback);
     }
 
-    /// The same, for as long as the connection is in use.
+    /// A function that does the same while the connection is borrowed elsewhere.
     pub fn feedback_sender(&self) -> impl Fn(Feedback) + use<> {
         let instance = self.instance.clone();
-        let (here, notes) = match &self.home {
-            Home::Here(handle) => (Some(handle.clone()), None),
-            Home::Relayed(_, notes) => (None, Some(notes.clone())),
+        let (local, feedback) = match &self.origin {
+            Origin::Local(handle) => (Some(handle.clone()), None),
+            Origin::Relayed(_, feedback) => (None, Some(feedback.clone())),
         };
-        move |note| match (&here, &notes) {
-            (Some(handle), _) => handle.record_feedback(&instance, note),
-            (None, Some(notes)) => notes.borrow_mut().push(note),
+        move |observed| match (&local, &feedback) {
+            (Some(handle), _) => handle.record_feedback(&instance, observed),
+            (None, Some(feedback)) => feedback.borrow_mut().push(observed),
             (None, None) => {}
         }
     }
 
-    fn send(&mut self, mut conn: Conn, usable: bool) {
-        match &self.home {
-            Home::Here(handle) => {
+    fn return_conn(&mut self, mut conn: Conn, is_usable: bool) {
+        match &self.origin {
+            Origin::Local(handle) => {
                 let returned = Returned {
                     instance: self.instance.clone(),
                     proof: conn.take_proof(),
-                    took: conn.take_time(),
-                    shown: conn.take_shown(),
-                    conn: usable.then_some(conn),
+                    service_time: conn.take_time(),
+                    log_end: conn.take_shown(),
+                    conn: is_usable.then_some(conn),
                 };
-                handle.send(Message::GiveBack(returned));
+                handle.send(Message::Returned(returned));
             }
-            Home::Relayed(way_back, notes) => {
-                way_back.give_back(conn, usable, notes.take());
+            Origin::Relayed(way_back, feedback) => {
+                way_back.give_back(conn, is_usable, feedback.take());
             }
         }
     }
 
-    /// Tells the group early what the connection proved, while it stays on loan. The proof
-    /// of a loan from another proxy goes back with it.
+    /// Reports the connection's freshness proof while it stays checked out. The proof of a
+    /// connection from another proxy is sent when the connection is returned.
     pub fn report_proof(&mut self) {
-        let Home::Here(handle) = &self.home else {
+        let Origin::Local(handle) = &self.origin else {
             return;
         };
         let proof = self.conn.as_mut().and_then(Conn::take_proof);
         if let Some(proof) = proof {
-            let report = probe::Report::proved(self.instance.clone(), proof);
+            let report = probe::Report::from_session(self.instance.clone(), proof);
             handle.send(Message::Probed(report));
         }
     }
@@ -156,7 +156,7 @@
 impl Drop for CheckedOut {
     fn drop(&mut self) {
         if let Some(conn) = self.conn.take() {
-            self.send(conn, false);
+            self.return_conn(conn, false);
         }
     }
 }
--- a/crates/front/src/group/handle.rs
+++ b/crates/front/src/group/handle.rs
@@ -1,4 +1,4 @@
-//! How others talk to a group's task.
+//! The handle through which other tasks use a group's task.
 
 use std::rc::Rc;
 
@@ -15,7 +15,7 @@
 #[derive(Clone)]
 pub struct Handle {
     pub(super) tx: flume::Sender<Message>,
-    pub(super) proofs: flume::Sender<Request>,
+    pub(super) acks: flume::Sender<Request>,
     pub(super) group: Rc<GroupId>,
 }
 
@@ -30,53 +30,54 @@
         &self.group
     }
 
-    /// Waits for a connection or a refusal.
-    pub async fn request(&self, ask: ConnRequest) -> Result<CheckedOut, Rejection> {
+    /// Waits for a connection or a rejection.
+    pub async fn request(&self, request: ConnRequest) -> Result<CheckedOut, Rejection> {
         let (tx, rx) = flume::bounded(1);
-        self.send(Message::Ask(ask, tx));
+        self.send(Message::Request(request, tx));
         let stopped = Rejection {
             reason: Reason::NoInstance,
             retry_after: Span::from_millis(0),
         };
         let grant = rx.recv_async().await.unwrap_or(Err(stopped))?;
-        Ok(CheckedOut::here(self.clone(), grant))
+        Ok(CheckedOut::local(self.clone(), grant))
     }
 
-    /// Takes over the announced instances, which may have been so since this time.
+    /// Sets the announced instances, which may have been announced from `since` on.
     pub fn set_entries(&self, entries: Vec<Entry>, since: Time) {
         self.send(Message::Entries(entries, since));
     }
 
-    /// Takes over who holds connections.
+    /// Sets how connections are divided among proxies.
     pub fn set_shares(&self, shares: Shares) {
         self.send(Message::Shares(shares));
     }
 
-    /// Tells what was learned about an instance.
-    pub fn record_feedback(&self, instance: &InstanceId, note: Feedback) {
-        self.send(Message::Feedback(instance.clone(), note));
+    /// Passes on what a session observed on an instance.
+    pub fn record_feedback(&self, instance: &InstanceId, feedback: Feedback) {
+        self.send(Message::Feedback(instance.clone(), feedback));
     }
 
-    /// An instance was made primary: it is looked at first.
+    /// Expects an instance to be the new primary, so that it is probed first.
     pub fn expect_primary(&self, instance: &InstanceId) {
-        self.send(Message::Primary(instance.clone()));
+        self.send(Message::ExpectPrimary(instance.clone()));
     }
 
-    /// Another proxy reaches the group: who waits here for instances out of reach goes there.
-    pub fn release(&self) {
-        self.send(Message::Release);
+    /// Rejects the requests that wait for unreachable instances, since another proxy reaches
+    /// the group and can serve them.
+    pub fn reject_unreachable(&self) {
+        self.send(Message::RejectUnreachable);
     }
 
-    /// Waits until a replica is known to hold a write; `false` if none is until `give_up`.
-    pub async fn await_ack(&self, write: Write, give_up: Time) -> bool {
+    /// Waits until a replica acknowledges a write; `false` if none does before `deadline`.
+    pub async fn await_ack(&self, write: Write, deadline: Time) -> bool {
         let (reply, rx) = flume::bounded(1);
         let request = Request {
             write,
-            give_up,
+            deadline,
             reply,
         };
         // The task ends only with the process.
-        let _ = self.proofs.send(request);
+        let _ = self.acks.send(request);
         rx.recv_async().await.unwrap_or(false)
     }
 
@@ -86,7 +87,7 @@
         rx.recv_async().await.unwrap_or_default()
     }
 
-    /// What the task knows.
+    /// Returns a snapshot of the task's state.
     pub async fn view(&self) -> View {
         let (tx, rx) = flume::bounded(1);
         self.send(Message::View(tx));
--- a/crates/front/src/group/probe.rs
+++ b/crates/front/src/group/probe.rs
@@ -1,4 +1,5 @@
-//! Questions to instances whether they lead, beside the callers' statements.
+//! Probes: queries that check whether an instance is the primary, independent of the callers'
+//! statements.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -17,60 +18,60 @@
 use crate::conn::{Conn, ConnError, Setting, Setup};
 use crate::metrics::Metrics;
 
-/// Longest wait for an answer. The statements that are asked need no slot, so a busy
-/// instance answers in a round trip, of 40 ms between regions.
-const LIMIT: Duration = Duration::from_millis(350);
+/// Timeout of a query. Its statements need no slot, so a busy instance responds within a
+/// round trip, which is 40 ms between regions.
+const QUERY_TIMEOUT: Duration = Duration::from_millis(350);
 
-/// Wait on an open connection before a new one is tried beside it: the longest round trip
-/// with a late timer or two.
-const PATIENCE: Duration = Duration::from_millis(120);
+/// Time after which a query on an open connection is also tried on a new one: the longest
+/// round trip, with one or two late timers.
+const NEW_CONN_AFTER: Duration = Duration::from_millis(120);
 
-/// Longest wait for a new connection: a round trip, a handshake of some 30 ms, and a few
-/// statements before it.
-const NEW_LIMIT: Duration = Duration::from_millis(350);
+/// Timeout for opening a connection: a round trip, a handshake of some 30 ms, and a few
+/// statements that the instance runs first.
+const OPEN_TIMEOUT: Duration = Duration::from_millis(350);
 
-/// Time for which an instance that did not answer is given no reads.
-pub(super) const REST: Span = Span::from_millis(400);
+/// Time for which an instance that did not respond gets no reads.
+pub(super) const READ_PAUSE: Span = Span::from_millis(400);
 
-/// What came of a question.
+/// The result of a probe, or a proof that a session received.
 pub(super) struct Report {
     instance: InstanceId,
     /// A connection for the pool.
     conn: Option<Conn>,
-    /// Whether the pool lent a connection for the question; otherwise one was opened.
-    lent: bool,
-    found: Result<Proof, ProbeFailure>,
-    /// Whether the question was one of the watch's own.
-    asked: bool,
+    /// Whether the pool provided the connection; otherwise one was opened.
+    from_pool: bool,
+    result: Result<Proof, ProbeFailure>,
+    /// Whether the primary monitor started the probe.
+    by_monitor: bool,
 }
 
 impl Report {
-    /// A proof that a session came by.
-    pub(super) fn proved(instance: InstanceId, proof: Proof) -> Self {
+    /// A proof that a session received.
+    pub(super) fn from_session(instance: InstanceId, proof: Proof) -> Self {
         Self {
             instance,
             conn: None,
-            lent: false,
-            found: Ok(proof),
-            asked: false,
+            from_pool: false,
+            result: Ok(proof),
+            by_monitor: false,
         }
     }
 }
 
 impl Group {
-    /// Asks whom the watch wants to ask.
-    pub(super) fn look(&mut self, now: Time) {
-        if !self.own && self.pool.waiting() == 0 {
+    /// Starts the probes that the primary monitor requests.
+    pub(super) fn probe_due(&mut self, now: Time) {
+        if !self.is_holder && self.pool.waiting() == 0 {
             return;
         }
-        let proved = self.pool.newest_proof().map(|p| p.since);
+        let proved_at = self.pool.newest_proof().map(|p| p.since);
         let primary = self.pool.primary().cloned();
-        for id in self.watch.start_probes(primary.as_ref(), proved, now) {
+        for id in self.monitor.start_probes(primary.as_ref(), proved_at, now) {
             let conn = self.pool.take_idle(&id);
             let opening = conn.is_none() && self.pool.begin_open(&id, now);
             if conn.is_none() && !opening {
-                // Its connections are all in use, and their statements show whether it lives.
-                self.watch.probe_ended(&id);
+                // All its connections are in use; their statements show whether it responds.
+                self.monitor.probe_ended(&id);
                 continue;
             }
             self.probe(id, conn);
@@ -84,87 +85,87 @@
         let (address, group, tx) = (instance.entry().address, self.id.clone(), self.tx.clone());
         let metrics = self.metrics.clone();
         compio::runtime::spawn(async move {
-            let lent = conn.is_some();
-            let asked = Question {
+            let from_pool = conn.is_some();
+            let query = Query {
                 address,
                 group,
                 id,
                 metrics,
             };
-            let (found, conn) = asked.put(conn).await;
+            let (result, conn) = query.run(conn).await;
             let report = Report {
-                instance: asked.id,
+                instance: query.id,
                 conn,
-                lent,
-                found,
-                asked: true,
+                from_pool,
+                result,
+                by_monitor: true,
             };
             let _ = tx.send(Message::Probed(report));
         })
         .detach();
     }
 
-    pub(super) fn probed(&mut self, report: Report, now: Time) -> Vec<Action<Conn, Reply>> {
+    pub(super) fn probe_ended(&mut self, report: Report, now: Time) -> Vec<Action<Conn, Reply>> {
         let id = report.instance;
-        if report.asked {
-            self.watch.probe_ended(&id);
+        if report.by_monitor {
+            self.monitor.probe_ended(&id);
         }
-        match report.found {
-            Ok(proof) => self.proved(&id, proof),
+        match report.result {
+            Ok(proof) => self.record_proof(&id, proof),
             Err(ProbeFailure::Full) => {}
-            Err(finding) => {
-                self.watch.record_failure(&id, finding, now);
-                self.disproved(&id, cause(finding));
-                if finding != ProbeFailure::Follows {
-                    self.pool.pause_reads(&id, now + REST);
+            Err(failure) => {
+                self.monitor.record_failure(&id, failure, now);
+                self.clear_primary(&id, describe(failure));
+                if failure != ProbeFailure::Follows {
+                    self.pool.pause_reads(&id, now + READ_PAUSE);
                 }
             }
         }
-        match (report.asked, report.lent, report.conn) {
+        match (report.by_monitor, report.from_pool, report.conn) {
             (false, ..) => Vec::new(),
             (true, true, conn) => self.pool.release(&id, conn, None, now),
             (true, false, Some(conn)) => self.pool.open_completed(&id, Ok(conn), now),
             (true, false, None) => {
-                let fault = match report.found {
+                let error = match report.result {
                     Err(ProbeFailure::Full) => OpenError::Full,
                     _ => OpenError::Unreachable,
                 };
-                self.pool.open_completed(&id, Err(fault), now)
+                self.pool.open_completed(&id, Err(error), now)
             }
         }
     }
 }
 
-const fn cause(finding: ProbeFailure) -> &'static str {
-    match finding {
-        ProbeFailure::Down => "it is not there",
-        ProbeFailure::Follows => "it says that it does not lead",
-        ProbeFailure::Silent => "it does not answer",
-        ProbeFailure::Full => "it has no connection left",
+const fn describe(failure: ProbeFailure) -> &'static str {
+    match failure {
+        ProbeFailure::Down => "the connection failed",
+        ProbeFailure::Follows => "it reports that it is not the primary",
+        ProbeFailure::Silent => "it does not respond",
+        ProbeFailure::Full => "it accepts no more connections",
     }
 }
 
-/// A question to one instance.
-struct Question {
+/// A query to one instance.
+struct Query {
     address: SocketAddr,
     group: Rc<GroupId>,
     id: InstanceId,
     metrics: Metrics,
 }
 
-impl Question {
-    /// Asks on an open connection and, if no answer comes soon, on a new one as well: an
-    /// open connection can go silent for good while new ones work. Gives back a
-    /// connection that can be used further in place of the one that was lent.
-    async fn put(&self, conn: Option<Conn>) -> (Result<Proof, ProbeFailure>, Option<Conn>) {
+impl Query {
+    /// Queries on an open connection and, without a response in [`NEW_CONN_AFTER`], on a new
+    /// one as well: an open connection can become unresponsive for good while new ones work.
+    /// Returns a usable connection in place of the one that was checked out.
+    async fn run(&self, conn: Option<Conn>) -> (Result<Proof, ProbeFailure>, Option<Conn>) {
         let Some(mut open) = conn else {
-            return self.on_new().await;
+            return self.on_new_conn().await;
         };
         let known = {
-            let old = ask(&mut open, LIMIT).fuse();
+            let old = check_leadership(&mut open, QUERY_TIMEOUT).fuse();
             let new = async {
-                compio::time::sleep(PATIENCE).await;
-                self.on_new().await
+                compio::time::sleep(NEW_CONN_AFTER).await;
+                self.on_new_conn().await
             };
             let new = new.fuse();
             futures_util::pin_mut!(old, new);
@@ -182,28 +183,28 @@
         }
     }
 
-    async fn on_new(&self) -> (Result<Proof, ProbeFailure>, Option<Conn>) {
-        let opened = Conn::open(self.address, &self.group, &self.id, NEW_LIMIT).await;
+    async fn on_new_conn(&self) -> (Result<Proof, ProbeFailure>, Option<Conn>) {
+        let opened = Conn::open(self.address, &self.group, &self.id, OPEN_TIMEOUT).await;
         self.metrics.opened(opened.is_ok());
         match opened {
             Ok(mut open) => {
-                let found = ask(&mut open, LIMIT).await;
-                let well = !matches!(found, Err(ProbeFailure::Silent | ProbeFailure::Down));
-                if well {
+                let found = check_leadership(&mut open, QUERY_TIMEOUT).await;
+                let is_usable = !matches!(found, Err(ProbeFailure::Silent | ProbeFailure::Down));
+                if is_usable {
                     return (found, Some(open));
                 }
                 open.close().await;
                 (found, None)
             }
             Err(e) => {
-                tracing::info!(group = %self.group, instance = %self.id, cause = %e, "a question found no connection");
-                (Err(finding(&e)), None)
+                tracing::info!(group = %self.group, instance = %self.id, cause = %e, "a probe could not open a connection");
+                (Err(probe_failure(&e)), None)
             }
         }
     }
 }
 
-fn finding(e: &ConnError) -> ProbeFailure {
+fn probe_failure(e: &ConnError) -> ProbeFailure {
     match e {
         ConnError::Refused(Code::TooManyConnections) => ProbeFailure::Full,
         ConnError::Silent => ProbeFailure::Silent,
@@ -211,24 +212,24 @@
     }
 }
 
-async fn ask(conn: &mut Conn, limit: Duration) -> Result<Proof, ProbeFailure> {
+async fn check_leadership(conn: &mut Conn, limit: Duration) -> Result<Proof, ProbeFailure> {
     let setup = Setup {
         values: None,
         shape: None,
         begin: None,
         prove: true,
     };
-    let asked = clock::now();
+    let queried_at = clock::now();
     match conn.set_up(setup, limit).await {
         Ok(Setting::Ready) => conn.take_proof().ok_or(ProbeFailure::Down),
         Ok(Setting::Refused(Code::ReadOnly)) => Err(ProbeFailure::Follows),
         Ok(Setting::Refused(code)) => {
-            tracing::info!(?code, asked = %asked, "a question to an instance was refused");
+            tracing::info!(?code, asked = %queried_at, "a probe was refused");
             Err(ProbeFailure::Down)
         }
         Err(e) => {
-            tracing::info!(cause = %e, asked = %asked, "a question to an instance failed");
-            Err(finding(&e))
+            tracing::info!(cause = %e, asked = %queried_at, "a probe failed");
+            Err(probe_failure(&e))
         }
     }
 }
--- a/crates/front/src/group/replica_ack.rs
+++ b/crates/front/src/group/replica_ack.rs
@@ -1,4 +1,4 @@
-//! Asking replicas whether they hold writes that the primary has answered.
+//! Queries replicas whether they hold writes that the primary has confirmed.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -12,59 +12,59 @@
 use crate::changes::Changes;
 use crate::clock;
 
-/// Longest wait for a replica's answer: a round trip between regions, and a slot that comes
-/// free.
-const ANSWER: Duration = Duration::from_millis(150);
+/// Timeout of a query to a replica: a round trip between regions and the wait for a free slot.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// First and longest pause after all replicas were asked in vain; it doubles. Load: replicas
-/// that are behind for seconds. Harm without it: the questions of all proxies fill their
-/// slots.
-const PAUSES: (Span, Span) = (Span::from_millis(5), Span::from_millis(100));
+/// First and longest delay after all replicas were queried without success; it doubles.
+/// Replicas may lag for seconds; without the delay, the queries of all proxies would fill
+/// their slots.
+const RETRY_DELAYS: (Span, Span) = (Span::from_millis(5), Span::from_millis(100));
 
-/// Longest wait for the store's answer, while connections that do not count are held.
-const CHECK: Duration = Duration::from_millis(100);
+/// Longest wait for the pending changes from the store while ineligible connections are
+/// checked out.
+const REFRESH_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Least time between two questions to the store whether a change of primary is under way.
-const CHECK_PAUSE: Span = Span::from_millis(60);
+/// Shortest interval between two refreshes of the pending changes from the store.
+const REFRESH_INTERVAL: Span = Span::from_millis(60);
 
-/// A write whose caller waits.
+/// A write whose caller waits for an acknowledgement.
 pub(super) struct Request {
     pub(super) write: Write,
-    pub(super) give_up: Time,
+    pub(super) deadline: Time,
     pub(super) reply: flume::Sender<bool>,
 }
 
-/// The task that proves a group's writes.
-pub(super) struct Prover {
+/// The task that collects the replicas' acknowledgements of a group's writes.
+pub(super) struct AckCollector {
     group: Rc<GroupId>,
     handle: Handle,
     changes: Changes,
-    unproven: PendingAcks<flume::Sender<bool>>,
-    silent: Unresponsive,
-    /// Before which time the store is not asked again.
-    check_at: Time,
-    pause: Span,
+    pending: PendingAcks<flume::Sender<bool>>,
+    unresponsive: Unresponsive,
+    /// When the pending changes may be refreshed again.
+    refresh_at: Time,
+    retry_delay: Span,
 }
 
-impl Prover {
+impl AckCollector {
     pub(super) fn new(group: Rc<GroupId>, handle: Handle, changes: Changes) -> Self {
         Self {
             group,
             handle,
             changes,
-            unproven: PendingAcks::default(),
-            silent: Unresponsive::default(),
-            check_at: Time::default(),
-            pause: PAUSES.0,
+            pending: PendingAcks::default(),
+            unresponsive: Unresponsive::default(),
+            refresh_at: Time::default(),
+            retry_delay: RETRY_DELAYS.0,
         }
     }
 
-    /// Proves writes for as long as the process runs.
+    /// Collects acknowledgements for as long as the process runs.
     pub(super) async fn run(mut self, rx: flume::Receiver<Request>) {
         while let Ok(request) = rx.recv_async().await {
             self.add(request);
-            while !self.unproven.is_empty() {
-                self.ask_all(&rx).await;
+            while !self.pending.is_empty() {
+                self.query_all(&rx).await;
             }
         }
     }
@@ -72,60 +72,60 @@
     fn add(&mut self, request: Request) {
         let Request {
             write,
-            give_up,
+            deadline,
             reply,
         } = request;
-        self.unproven.add(write, give_up, reply);
+        self.pending.add(write, deadline, reply);
     }
 
-    /// Asks one replica after the other until no write is left.
-    async fn ask_all(&mut self, rx: &flume::Receiver<Request>) {
+    /// Queries one replica after the other until no write is pending.
+    async fn query_all(&mut self, rx: &flume::Receiver<Request>) {
         let mut replicas = self.handle.replicas().await;
         replicas.retain(Replica::may_acknowledge);
-        let mut left_out = Vec::new();
-        for replica in replica_ack::by_preference(replicas, &self.silent, clock::now()) {
-            let Some(lent) = self.lend(&replica.id).await else {
+        let mut ineligible = Vec::new();
+        for replica in replica_ack::by_preference(replicas, &self.unresponsive, clock::now()) {
+            let Some(checkout) = self.checkout(&replica.id).await else {
                 continue;
             };
-            if self.is_eligible(&lent) {
-                self.ask(lent, rx).await;
+            if self.is_eligible(&checkout) {
+                self.query(checkout, rx).await;
             } else {
-                left_out.push(lent);
+                ineligible.push(checkout);
             }
-            if self.unproven.is_empty() {
+            if self.pending.is_empty() {
                 break;
             }
         }
-        if !self.unproven.is_empty() && !left_out.is_empty() {
-            self.check().await;
+        if !self.pending.is_empty() && !ineligible.is_empty() {
+            self.refresh().await;
         }
-        for lent in left_out {
-            if !self.unproven.is_empty() && self.is_eligible(&lent) {
-                self.ask(lent, rx).await;
+        for checkout in ineligible {
+            if !self.pending.is_empty() && self.is_eligible(&checkout) {
+                self.query(checkout, rx).await;
             } else {
-                lent.release();
+                checkout.release();
             }
         }
-        self.give_up();
-        if !self.unproven.is_empty() {
-            compio::time::sleep(self.pause.as_duration()).await;
-            self.pause = self.pause.times(2).min(PAUSES.1);
+        self.reply_expired();
+        if !self.pending.is_empty() {
+            compio::time::sleep(self.retry_delay.as_duration()).await;
+            self.retry_delay = self.retry_delay.times(2).min(RETRY_DELAYS.1);
         }
     }
 
-    /// Asks a replica on a connection that counts.
-    async fn ask(&mut self, mut lent: CheckedOut, rx: &flume::Receiver<Request>) {
-        let id = lent.instance.clone();
-        let Some(conn) = lent.conn() else { return };
-        let end = match conn.log_end(ANSWER).await {
+    /// Queries a replica on an eligible connection.
+    async fn query(&mut self, mut checkout: CheckedOut, rx: &flume::Receiver<Request>) {
+        let id = checkout.instance.clone();
+        let Some(conn) = checkout.conn() else { return };
+        let end = match conn.log_end(RESPONSE_TIMEOUT).await {
             Ok(end) => {
-                lent.release();
-                self.silent.remove(&id);
+                checkout.release();
+                self.unresponsive.remove(&id);
                 end
             }
             Err(e) => {
-                tracing::info!(group = %self.group, instance = %id, cause = %e, "a replica did not tell what it holds");
-                self.silent.add(id.clone(), clock::now());
+                tracing::info!(group = %self.group, instance = %id, cause = %e, "a replica did not report its log end");
+                self.unresponsive.add(id.clone(), clock::now());
                 None
             }
         };
@@ -133,65 +133,68 @@
             self.add(request);
         }
         if let Some(end) = end {
-            let held = self.unproven.take_held(&id, end);
+            let held = self.pending.take_held(&id, end);
             if !held.is_empty() {
-                self.pause = PAUSES.0;
+                self.retry_delay = RETRY_DELAYS.0;
             }
-            tell(held, true);
+            reply_all(held, true);
         }
     }
 
-    /// Answers those whose callers wait no longer.
-    fn give_up(&mut self) {
-        let expired = self.unproven.take_expired(clock::now());
+    /// Reports failure for the writes whose deadline has passed.
+    fn reply_expired(&mut self) {
+        let expired = self.pending.take_expired(clock::now());
         if !expired.is_empty() {
-            tracing::warn!(group = %self.group, writes = expired.len(), "writes have an answer, but no replica is known to hold them");
+            tracing::warn!(group = %self.group, writes = expired.len(), "the primary confirmed writes, but no replica acknowledged them");
         }
-        tell(expired, false);
+        reply_all(expired, false);
     }
 
-    async fn lend(&mut self, id: &InstanceId) -> Option<CheckedOut> {
+    async fn checkout(&mut self, id: &InstanceId) -> Option<CheckedOut> {
         let now = clock::now();
-        let ask = ConnRequest {
+        let request = ConnRequest {
             kind: Kind::Control(id.clone()),
             own_write: None,
             arrived: now,
-            deadline: now + Span::from(ANSWER),
+            deadline: now + Span::from(RESPONSE_TIMEOUT),
             priority: 0,
             avoid: None,
             may_wait: true,
         };
-        let lent = self.handle.request(ask).await;
-        if lent.is_err() {
-            self.silent.add(id.clone(), clock::now());
+        let checkout = self.handle.request(request).await;
+        if checkout.is_err() {
+            self.unresponsive.add(id.clone(), clock::now());
         }
-        lent.ok()
+        checkout.ok()
     }
 
-    fn is_eligible(&self, lent: &CheckedOut) -> bool {
-        let opened = lent.opened();
+    fn is_eligible(&self, checkout: &CheckedOut) -> bool {
+        let opened = checkout.opened();
         opened.is_some_and(|opened| self.changes.is_eligible(&self.group, opened))
     }
 
-    /// Asks the store whether a change of primary is under way, so that more connections may
-    /// count.
-    async fn check(&mut self) {
+    /// Refreshes the pending changes of primary from the store, so that more connections may
+    /// become eligible.
+    async fn refresh(&mut self) {
         let now = clock::now();
-        if now < self.check_at {
+        if now < self.refresh_at {
             return;
         }
-        self.check_at = now + CHECK_PAUSE;
-        let answered = self.changes.ask();
-        let answered = answered.recv_async();
-        if compio::time::timeout(CHECK, answered).await.is_err() {
-            tracing::info!(group = %self.group, "the store has not told yet whether a change of primary is under way");
+        self.refresh_at = now + REFRESH_INTERVAL;
+        let refreshed = self.changes.ask();
+        let refreshed = refreshed.recv_async();
+        if compio::time::timeout(REFRESH_TIMEOUT, refreshed)
+            .await
+            .is_err()
+        {
+            tracing::info!(group = %self.group, "the store has not responded yet whether a change of primary is under way");
         }
     }
 }
 
-fn tell(who: Vec<flume::Sender<bool>>, held: bool) {
-    for reply in who {
-        // The caller may have gone.
+fn reply_all(replies: Vec<flume::Sender<bool>>, held: bool) {
+    for reply in replies {
+        // The caller may no longer wait.
         let _ = reply.send(held);
     }
 }
--- a/crates/front/src/lend.rs
+++ b/crates/front/src/lend.rs
@@ -176,7 +176,7 @@
                     if self.conn_sources.found(group, &peer) {
                         tracing::info!(%group, %peer, instance = %lent.instance, "a group out of reach is served through another proxy");
                         if let Some(handle) = self.group(group) {
-                            handle.release();
+                            handle.reject_unreachable();
                         }
                     }
                     return Some(Ok(lent));
--- a/crates/front/tests/replica_ack.rs
+++ b/crates/front/tests/replica_ack.rs
@@ -1,4 +1,4 @@
-//! Whose word proves to a proxy that a write is safe.
+//! Which instances' acknowledgements count for a write.
 
 mod env;
 
@@ -9,7 +9,7 @@
 use standin::managed::{Fault, Managed};
 
 /// Longer than a proxy keeps an instance that is no longer announced.
-const FORGOTTEN: Duration = Duration::from_millis(3_500);
+const FORGET_TIME: Duration = Duration::from_millis(3_500);
 
 fn platform() -> Managed {
     let managed = Managed::start(3).unwrap();
@@ -17,8 +17,8 @@
     managed
 }
 
-/// Guards against an acknowledged write that the next primary lacks: only an instance had
-/// received it that was not announced, so that nobody could stop it or count on it.
+/// Guards against an acknowledged write that the next primary lacks: the only instance that
+/// held it was not announced, so the coordinator could neither pause it nor query it.
 #[test]
 fn a_write_that_only_an_unannounced_instance_holds_is_in_doubt() {
     let managed = platform();
@@ -27,7 +27,7 @@
     session.insist("WRITE a 1");
     managed.set_fault(1, Fault::Deaf);
     managed.lapse(2);
-    thread::sleep(FORGOTTEN);
+    thread::sleep(FORGET_TIME);
     assert_eq!(session.ask("WRITE a 2").code(), Some("INDOUBT"));
     managed.come_back(2);
     session.insist("WRITE a 3");
