--- a/crates/front/src/config.rs
+++ b/crates/front/src/config.rs
@@ -19,19 +19,20 @@
     pub data_centre: DataCentre,
     /// All data centres with their regions.
     pub data_centres: IndexMap<DataCentre, Region>,
-    /// Where callers connect.
+    /// Address for callers' connections.
     pub listen: SocketAddr,
-    /// Where the balancer asks whether this proxy takes new callers.
+    /// Address at which the balancer checks whether this proxy accepts new callers.
     pub ready_listen: SocketAddr,
-    /// Where connections are lent to other proxies; they must reach it.
+    /// Address of the relay, which provides pooled connections to other proxies; it must be
+    /// reachable for them.
     pub relay_listen: SocketAddr,
-    /// Where metrics are served.
+    /// Address of the metrics endpoint.
     pub metrics_listen: SocketAddr,
-    /// The platform's store.
+    /// Address of the platform's store.
     pub store: SocketAddr,
-    /// Where the platform takes orders.
+    /// Address at which the platform accepts promotion orders.
     pub orders: SocketAddr,
-    /// Least lease that the store grants, in milliseconds.
+    /// Shortest lease that the store grants, in milliseconds.
     #[serde_as(as = "DurationMilliSecondsWithFrac<f64>")]
     pub least_lease_ms: Duration,
     /// Time within which a change of the configuration must be in force, in milliseconds.
@@ -40,7 +41,7 @@
     /// Whether the whole fleet starts for the first time.
     #[serde(default)]
     pub first_start: bool,
-    /// Time from the signal to stop until the process is killed, in seconds.
+    /// Time from the stop signal until the process is killed, in seconds.
     #[serde_as(as = "DurationSecondsWithFrac<f64>")]
     pub grace_s: Duration,
 }
--- a/crates/front/src/cx.rs
+++ b/crates/front/src/cx.rs
@@ -1,4 +1,4 @@
-//! What all tasks of the process share.
+//! The context that all tasks of the process share.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -19,27 +19,27 @@
 use crate::relay;
 use crate::stop::Stop;
 
-/// Shared by the tasks of one process; the directory's task writes, the others read.
+/// The context of one process; the directory's task updates it, the others read it.
 pub struct Cx {
     routes: RefCell<Arc<Routes>>,
     groups: RefCell<IndexMap<GroupId, group::Handle>>,
-    /// The ways to groups past this proxy's own pools.
+    /// Where connections to groups come from besides this proxy's own pools.
     pub conn_sources: Roads,
-    /// Speaks to other proxies.
+    /// The client for other proxies' relays.
     pub relay: relay::Client,
     sessions: Cell<usize>,
-    /// What this proxy knows of the store, for its neighbours.
+    /// The updates of the store that this proxy serves to peers of its data centre.
     pub feed: Feed,
-    /// What proxies find wrong with primaries.
+    /// What proxies report about groups: suspected primaries and lagging replicas.
     pub reports: concern::Board,
-    /// Tells whether changes of primary are under way.
+    /// The groups with a change of primary under way.
     pub changes: Changes,
     distances: Ways,
-    /// Bounds the lines about served statements.
+    /// Limits the log lines about served statements.
     pub served_lines: logs::Budget,
     /// Metrics of the process.
     pub metrics: Metrics,
-    /// How far the shutdown is.
+    /// The phase of the shutdown.
     pub stop: Stop,
 }
 
@@ -72,7 +72,7 @@
         *self.routes.borrow_mut() = Arc::new(routes);
     }
 
-    /// How far data centres are apart.
+    /// Assumed round trips between data centres.
     pub fn distances(&self) -> &Ways {
         &self.distances
     }
@@ -82,7 +82,7 @@
         self.groups.borrow().get(group).cloned()
     }
 
-    /// Every group's task.
+    /// The tasks of all groups.
     pub fn groups(&self) -> Vec<group::Handle> {
         self.groups.borrow().values().cloned().collect()
     }
@@ -105,19 +105,19 @@
         handle
     }
 
-    /// Sessions that are open.
+    /// Number of open sessions.
     pub fn sessions(&self) -> usize {
         self.sessions.get()
     }
 
-    /// Counts a session for as long as the result lives.
+    /// Counts a session until the result is dropped.
     pub fn count_session(self: &Rc<Self>) -> SessionCount {
         self.sessions.set(self.sessions.get() + 1);
         SessionCount(self.clone())
     }
 }
 
-/// A session that is counted.
+/// Guard of a counted session.
 pub struct SessionCount(Rc<Cx>);
 
 impl Drop for SessionCount {
--- a/crates/front/src/directory.rs
+++ b/crates/front/src/directory.rs
@@ -46,7 +46,8 @@
 /// yet; it reads the store in some hundred milliseconds.
 const FIRST_UPDATE_TIMEOUT: Span = Span::from_millis(1_000);
 
-/// Tries to write an intent whose revision was not known; each failed one returns it.
+/// Tries to write an intent whose known revision is outdated; each failed one returns the
+/// current revision.
 const INTENT_TRIES: u32 = 3;
 
 /// Why an intent is not known to be in the store.
--- a/crates/front/src/feed.rs
+++ b/crates/front/src/feed.rs
@@ -1,4 +1,4 @@
-//! What this proxy knows of the store, for the neighbours that follow it.
+//! The updates that a store reader serves to the proxies of its data centre.
 
 use std::cell::{Cell, RefCell};
 use std::io::{Read as _, Write as _};
@@ -15,56 +15,58 @@
 
 use crate::clock;
 
-/// Most bytes of unpacked news; more than a store of this use ever holds.
+/// Size limit of an unpacked update in bytes; more than a store of this use ever holds.
 const MAX_UNPACKED: u64 = 32 << 20;
 
-/// Time within which a proxy that followed the reader until now reads the store itself. All
-/// learn at once that the reader lost the store, and turn to this one at once.
-const STANDS_IN: Span = Span::from_millis(200);
+/// Time within which a proxy that followed another store reader starts to read the store
+/// itself. When a reader loses the store, all its followers notice at the same time, and may
+/// query this proxy before it has taken over.
+const TAKEOVER_TIME: Span = Span::from_millis(200);
 
-/// Where this proxy's knowledge comes from.
+/// How this proxy gets the state of the store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum StoreAccess {
-    /// Nothing is known yet, and it was not tried in vain either.
+    /// Nothing is known yet, and no attempt has failed.
     #[default]
     Starting,
-    /// From the store itself.
+    /// Directly from the store.
     Reads,
-    /// From a neighbour; others must not follow it in turn, since each step costs time.
+    /// From a store reader. Others must not follow this proxy in turn, since each step adds
+    /// latency.
     Follows,
-    /// The store does not answer.
+    /// The store does not respond.
     Lost,
 }
 
-/// News in the form in which they are sent: packed, since a configuration of thousands of
-/// routes repeats itself, and machines have links of a few Mbit/s.
+/// An update in the form in which it is sent: compressed, since a configuration of thousands
+/// of routes repeats itself, and machines have links of a few Mbit/s.
 #[serde_as]
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Packed(#[serde_as(as = "Base64")] Vec<u8>);
 
-/// Why news cannot be packed or unpacked.
+/// Why an update cannot be packed or unpacked.
 #[derive(Debug, thiserror::Error)]
 pub enum PackError {
-    /// They cannot be compressed or decompressed.
-    #[error("news cannot be packed or unpacked: {0}")]
+    /// It cannot be compressed or decompressed.
+    #[error("an update cannot be compressed or decompressed: {0}")]
     Stream(#[from] std::io::Error),
-    /// They cannot be encoded.
-    #[error("news cannot be encoded: {0}")]
+    /// It cannot be encoded.
+    #[error("an update cannot be encoded: {0}")]
     Encode(#[from] rmp_serde::encode::Error),
-    /// They cannot be decoded.
-    #[error("news cannot be decoded: {0}")]
+    /// It cannot be decoded.
+    #[error("an update cannot be decoded: {0}")]
     Decode(#[from] rmp_serde::decode::Error),
 }
 
 impl Packed {
-    /// Packs news.
-    pub fn new(news: &Update) -> Result<Self, PackError> {
+    /// Packs an update.
+    pub fn new(update: &Update) -> Result<Self, PackError> {
         let mut encoder = DeflateEncoder::new(Vec::new(), Compression::fast());
-        encoder.write_all(&rmp_serde::to_vec(news)?)?;
+        encoder.write_all(&rmp_serde::to_vec(update)?)?;
         Ok(Self(encoder.finish()?))
     }
 
-    /// Unpacks them.
+    /// Unpacks the update.
     pub fn unpack(&self) -> Result<Update, PackError> {
         let mut body = Vec::new();
         let mut decoder = DeflateDecoder::new(self.0.as_slice()).take(MAX_UNPACKED);
@@ -73,115 +75,115 @@
     }
 }
 
-/// The copy of the store, and who waits for changes of it.
+/// The copy of the store, and the requests that wait for changes of it.
 #[derive(Default)]
 pub struct Feed {
     mirror: RefCell<Mirror>,
     access: Cell<StoreAccess>,
-    waiting: RefCell<Vec<flume::Sender<()>>>,
-    /// The last news that were packed, from which revision on; followers mostly ask for
-    /// the same.
+    waiters: RefCell<Vec<flume::Sender<()>>>,
+    /// The last packed update and its first and last revision; followers mostly request the
+    /// same one.
     packed: RefCell<Option<(Revision, Revision, Packed)>>,
 }
 
 impl Feed {
-    /// Takes news over.
-    pub fn take(&self, news: &Update) {
-        self.mirror.borrow_mut().take(news);
+    /// Applies an update.
+    pub fn take(&self, update: &Update) {
+        self.mirror.borrow_mut().take(update);
         self.wake();
     }
 
-    /// Where the knowledge comes from.
+    /// How this proxy gets the state of the store.
     pub fn access(&self) -> StoreAccess {
         self.access.get()
     }
 
-    /// Notes where the knowledge comes from.
+    /// Sets how this proxy gets the state of the store.
     pub fn set_access(&self, access: StoreAccess) {
         if self.access.replace(access) != access {
             self.wake();
         }
     }
 
-    /// Questions that wait for a change.
+    /// Number of requests that wait for a change.
     pub fn waiting(&self) -> usize {
-        self.waiting.borrow().len()
+        self.waiters.borrow().len()
     }
 
     fn wake(&self) {
-        for waiter in self.waiting.borrow_mut().drain(..) {
-            // One that no longer waits needs no waking.
+        for waiter in self.waiters.borrow_mut().drain(..) {
+            // The waiter may have timed out.
             let _ = waiter.send(());
         }
     }
 
-    /// What changed after a revision, at the latest when `wait` is over; `None` if this
-    /// proxy does not hear the store itself.
+    /// The changes after a revision, at the latest when `wait` is over; `None` if this proxy
+    /// does not read the store itself.
     pub async fn after(&self, after: Revision, wait: Span) -> Option<Packed> {
-        let begun = clock::now();
-        let until = begun + wait;
+        let started = clock::now();
+        let deadline = started + wait;
         loop {
             let now = clock::now();
-            let over = now >= until;
+            let timed_out = now >= deadline;
             match self.access.get() {
                 StoreAccess::Lost => return None,
-                StoreAccess::Follows if now >= begun + STANDS_IN => return None,
+                StoreAccess::Follows if now >= started + TAKEOVER_TIME => return None,
                 StoreAccess::Follows => {
-                    self.changed(begun + STANDS_IN).await;
+                    self.wait_for_change(started + TAKEOVER_TIME).await;
                     continue;
                 }
-                StoreAccess::Starting if over => return None,
+                StoreAccess::Starting if timed_out => return None,
                 StoreAccess::Starting => {}
                 StoreAccess::Reads => {
-                    let news = self.mirror.borrow().since(after);
-                    let nothing =
-                        matches!(&news, Update::Changes(batch) if batch.changes.is_empty());
-                    if over || !nothing {
-                        return self.pack(after, &news);
+                    let update = self.mirror.borrow().since(after);
+                    let is_empty =
+                        matches!(&update, Update::Changes(batch) if batch.changes.is_empty());
+                    if timed_out || !is_empty {
+                        return self.pack(after, &update);
                     }
                 }
             }
-            self.changed(until).await;
+            self.wait_for_change(deadline).await;
         }
     }
 
-    fn pack(&self, after: Revision, news: &Update) -> Option<Packed> {
-        let of = (after, news.revision());
+    fn pack(&self, after: Revision, update: &Update) -> Option<Packed> {
+        let range = (after, update.revision());
         let known = self.packed.borrow().clone();
         if let Some((from, to, packed)) = known
-            && (from, to) == of
+            && (from, to) == range
         {
             return Some(packed);
         }
-        match Packed::new(news) {
+        match Packed::new(update) {
             Ok(packed) => {
-                let kept = (of.0, of.1, packed.clone());
-                *self.packed.borrow_mut() = Some(kept);
+                let cached = (range.0, range.1, packed.clone());
+                *self.packed.borrow_mut() = Some(cached);
                 Some(packed)
             }
             Err(e) => {
-                tracing::error!(cause = %e, "a neighbour is told nothing");
+                tracing::error!(cause = %e, "an update could not be packed for a follower");
                 None
             }
         }
     }
 
-    async fn changed(&self, until: Time) {
-        let rx = self.enlist();
-        let left = until.since(clock::now()).as_duration();
-        // Whether something changed or the time is over, the caller looks again.
-        let _ = compio::time::timeout(left, rx.recv_async()).await;
+    async fn wait_for_change(&self, deadline: Time) {
+        let rx = self.add_waiter();
+        let remaining = deadline.since(clock::now()).as_duration();
+        // The caller checks the state again after a change as well as after a timeout.
+        let _ = compio::time::timeout(remaining, rx.recv_async()).await;
     }
 
-    /// Adds one to those who are woken by the next change.
+    /// Adds a waiter that the next change wakes.
     ///
-    /// Those whose time was over wait no longer and go. Without this, a store in which
-    /// nothing changes would let them pile up.
-    fn enlist(&self) -> flume::Receiver<()> {
+    /// Waiters that have timed out are removed. Without this, they would accumulate while
+    /// nothing changes in the store.
+    fn add_waiter(&self) -> flume::Receiver<()> {
         let (tx, rx) = flume::bounded(1);
-        let mut waiting = self.waiting.borrow_mut();
-        waiting.retain(|waiter| !waiter.is_disconnected());
-        waiting.push(tx);
+        let mut waiters = self.waiters.borrow_mut();
+        waiters.retain(|waiter| !waiter.is_disconnected());
+        waiters.push(tx);
         rx
     }
 }
--- a/crates/front/src/run.rs
+++ b/crates/front/src/run.rs
@@ -1,4 +1,4 @@
-//! Starting, serving and stopping.
+//! Starts the process, serves until a stop signal, and drains the sessions.
 
 use std::io;
 use std::net::SocketAddr;
@@ -30,23 +30,23 @@
 /// Why the process cannot start.
 #[derive(Debug, thiserror::Error, miette::Diagnostic)]
 pub enum StartError {
-    /// An address cannot be listened on.
+    /// The process cannot listen on an address.
     #[error("cannot listen on {0}")]
     Listen(SocketAddr, #[source] io::Error),
-    /// The client of the platform cannot be made.
-    #[error("the platform's client cannot be made")]
+    /// The client for the platform cannot be created.
+    #[error("cannot create the client for the platform")]
     Store(#[from] store::error::Error),
     /// The metrics cannot be set up.
     #[error(transparent)]
     Metrics(#[from] metrics::MetricsError),
 }
 
-/// Serves until the process is told to stop.
+/// Serves until the process receives a stop signal.
 pub async fn run(cfg: Config) -> Result<(), StartError> {
     tracing::info!(proxy = %cfg.proxy, data_centre = %cfg.data_centre, listen = %cfg.listen, store = %cfg.store, "starting");
     let (stopper, stop) = stop::pair();
-    let ways = Ways::new(cfg.data_centre.clone(), cfg.data_centres.clone());
-    let cx = Rc::new(Cx::new(ways, Metrics::new()?, stop));
+    let distances = Ways::new(cfg.data_centre.clone(), cfg.data_centres.clone());
+    let cx = Rc::new(Cx::new(distances, Metrics::new()?, stop));
     let store = Client::new(vec![format!("http://{}", cfg.store)])?;
     let orders = Client::new(vec![format!("http://{}", cfg.orders)])?;
     let listener = listen(cfg.listen).await?;
@@ -67,27 +67,21 @@
         data_centre: cfg.data_centre.clone(),
         relay: cfg.relay_listen,
     };
-    let member = Rc::new(Member::new(cfg.proxy.clone(), announced));
-    let holder = member.clone();
-    let is_coordinator = move |directory: &Directory| holder.duty(directory).is_some();
-    let directory = Directory::new(
-        cx.clone(),
-        me,
-        changed,
-        cfg.in_force_within_ms,
-        is_coordinator,
-    );
+    let registration = Rc::new(Member::new(cfg.proxy.clone(), announced));
+    let lease_holder = registration.clone();
+    let has_lease = move |directory: &Directory| lease_holder.duty(directory).is_some();
+    let directory = Directory::new(cx.clone(), me, changed, cfg.in_force_within_ms, has_lease);
     compio::runtime::spawn(directory.clone().follow(store.clone(), cfg.first_start)).detach();
     compio::runtime::spawn(serve_changes(directory.clone(), store.clone())).detach();
-    let least = cfg.least_lease_ms;
-    let keep = member
+    let min_lease = cfg.least_lease_ms;
+    let keep = registration
         .clone()
-        .keep(cx.clone(), directory.clone(), store.clone(), least);
+        .keep(cx.clone(), directory.clone(), store.clone(), min_lease);
     compio::runtime::spawn(keep).detach();
     let coordinator = Coordinator {
         cx: cx.clone(),
         directory,
-        member: member.clone(),
+        member: registration.clone(),
         store: store.counted_for(Purpose::Intents),
         orders,
         last: Rc::default(),
@@ -98,12 +92,12 @@
     compio::runtime::spawn(coordinator.run(changes)).detach();
     compio::runtime::spawn(become_ready(cx.clone(), ready.clone())).detach();
     compio::runtime::spawn(accept(cx.clone(), listener)).detach();
-    compio::runtime::spawn(note_reloads()).detach();
+    compio::runtime::spawn(log_reloads()).detach();
 
-    told_to_stop().await;
+    stop_signal().await;
     tracing::info!(sessions = cx.sessions(), "stopping");
     ready.store(false, Ordering::Relaxed);
-    member.leave(&store).await;
+    registration.leave(&store).await;
     drain(&cfg, &cx, stopper).await;
     tracing::info!(sessions = cx.sessions(), "stopped");
     Ok(())
@@ -118,14 +112,14 @@
     listener.map_err(|e| StartError::Listen(address, e))
 }
 
-/// Asks about changes of primary, of a neighbour where there is one.
+/// Keeps the pending changes of primary up to date, from a store reader where there is one.
 async fn serve_changes(directory: Directory, store: Client) {
     let changes = directory.changes();
-    let neighbour = |within| directory.query_changes(within);
-    changes.serve(store, neighbour).await;
+    let readers = |within| directory.query_changes(within);
+    changes.serve(store, readers).await;
 }
 
-/// Callers are sent here once there is a configuration to serve them by.
+/// Reports the process as ready once a configuration is known, so that callers are sent here.
 async fn become_ready(cx: Rc<Cx>, ready: Arc<AtomicBool>) {
     while cx.routes().version == 0 {
         clock::sleep_until(clock::now() + Span::from_millis(50)).await;
@@ -140,23 +134,23 @@
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                let (cx, entered) = (cx.clone(), cx.count_session());
+                let (cx, guard) = (cx.clone(), cx.count_session());
                 compio::runtime::spawn(async move {
                     session::serve(cx, stream).await;
-                    drop(entered);
+                    drop(guard);
                 })
                 .detach();
             }
             Err(e) => {
-                // Out of descriptors, for instance: sessions that end free some.
-                tracing::error!(cause = %e, "a caller was not accepted");
+                // For instance out of file descriptors: sessions that end free some.
+                tracing::error!(cause = %e, "a caller's connection could not be accepted");
                 clock::sleep_until(clock::now() + Span::from_millis(20)).await;
             }
         }
     }
 }
 
-async fn told_to_stop() {
+async fn stop_signal() {
     let term = compio::signal::unix::signal(SIGTERM).fuse();
     let int = compio::signal::unix::signal(SIGINT).fuse();
     futures_util::pin_mut!(term, int);
@@ -166,12 +160,12 @@
     }
 }
 
-/// Everything that can change while the process runs comes from the store; the settings
-/// hold addresses, which a running process keeps.
-async fn note_reloads() {
+/// Logs requests to reload, which change nothing: all that can change while the process runs
+/// comes from the store, and the settings hold addresses, which a running process keeps.
+async fn log_reloads() {
     while compio::signal::unix::signal(SIGHUP).await.is_ok() {
         tracing::info!(
-            "asked to reload: the settings in force stay, all else comes from the store"
+            "reload requested: the settings stay in force, all else comes from the store"
         );
     }
 }
--- a/crates/front/tests/feed.rs
+++ b/crates/front/tests/feed.rs
@@ -1,4 +1,4 @@
-//! What a proxy tells the neighbours that follow it, without a store.
+//! The updates that a store reader serves to its followers, without a store.
 
 use front::feed::{Feed, StoreAccess};
 use model::position::Revision;
@@ -26,56 +26,56 @@
     })
 }
 
-/// Hours pass in which nothing changes in the store, and each question of a follower ends
-/// without news. The questions that ended must not be kept, or memory grows with time.
+/// Guards against a leak: while nothing changes in the store for hours, each request of a
+/// follower times out without changes, and must not be kept.
 #[test]
-fn questions_that_ended_are_not_kept() {
+fn timed_out_requests_are_removed() {
     block_on(async {
         let feed = Feed::default();
         feed.set_access(StoreAccess::Reads);
         feed.take(&listing(7));
         for _ in 0..50 {
-            let told = feed.after(Revision(7), Span::from_millis(1)).await;
-            assert!(told.is_some());
+            let received = feed.after(Revision(7), Span::from_millis(1)).await;
+            assert!(received.is_some());
         }
         assert!(feed.waiting() <= 1);
     });
 }
 
-/// A follower asks while its reader starts, and learns everything as soon as the reader
-/// knows it; then it learns what changes.
+/// A follower that sends a request while its reader starts receives the whole state as soon as
+/// the reader has it, and then the changes.
 #[test]
-fn a_follower_learns_what_the_reader_learns() {
+fn a_follower_receives_the_updates_of_its_reader() {
     block_on(async {
         let feed = Feed::default();
-        let asked = feed.after(Revision(0), Span::from_millis(10_000));
-        let learns = async {
+        let request = feed.after(Revision(0), Span::from_millis(10_000));
+        let start = async {
             feed.set_access(StoreAccess::Reads);
             feed.take(&listing(7));
         };
-        let (told, ()) = futures_util::future::join(asked, learns).await;
-        assert_eq!(told.unwrap().unpack().unwrap(), listing(7));
+        let (received, ()) = futures_util::future::join(request, start).await;
+        assert_eq!(received.unwrap().unpack().unwrap(), listing(7));
         let change = Update::Changes(Batch {
             changes: vec![Change::Put(record(9))],
             revision: Revision(9),
         });
         feed.take(&change);
-        let told = feed.after(Revision(7), Span::from_millis(1)).await;
-        assert_eq!(told.unwrap().unpack().unwrap(), change);
+        let received = feed.after(Revision(7), Span::from_millis(1)).await;
+        assert_eq!(received.unwrap().unpack().unwrap(), change);
     });
 }
 
-/// A reader loses the store. Who asks it is told so at once and asks elsewhere; waiting for
-/// it would make a change late for a whole data centre.
+/// A reader that loses the store ends the requests that wait for it, so that its followers turn
+/// elsewhere immediately. Otherwise a change would be late for a whole data centre.
 #[test]
-fn a_reader_that_lost_the_store_says_so_at_once() {
+fn a_reader_that_lost_the_store_replies_immediately() {
     block_on(async {
         let feed = Feed::default();
         feed.set_access(StoreAccess::Reads);
         feed.take(&listing(7));
-        let asked = feed.after(Revision(7), Span::from_millis(60_000));
-        let loses = async { feed.set_access(StoreAccess::Lost) };
-        let (told, ()) = futures_util::future::join(asked, loses).await;
-        assert!(told.is_none());
+        let request = feed.after(Revision(7), Span::from_millis(60_000));
+        let loss = async { feed.set_access(StoreAccess::Lost) };
+        let (received, ()) = futures_util::future::join(request, loss).await;
+        assert!(received.is_none());
     });
 }
--- a/crates/front/tests/follow.rs
+++ b/crates/front/tests/follow.rs
@@ -1,4 +1,4 @@
-//! Following a neighbour that reads the store over a slow link.
+//! Following a store reader over a slow link.
 
 use std::io::{BufRead as _, BufReader, Write as _};
 use std::net::{SocketAddr, TcpListener};
@@ -13,10 +13,10 @@
 use store::mirror::Update;
 use store::watch::{Batch, Change};
 
-/// Pause of the neighbour before each part of its answer.
-const PART: Duration = Duration::from_millis(400);
+/// Delay of the store reader before each part of its response.
+const PART_DELAY: Duration = Duration::from_millis(400);
 
-fn news() -> Update {
+fn update() -> Update {
     let record = Record {
         key: "op/config".to_owned(),
         value: vec![7; 10_000],
@@ -28,31 +28,31 @@
     })
 }
 
-/// A neighbour that answers one question in so many parts, or stops before the last one.
-fn neighbour(parts: usize, stops: bool) -> SocketAddr {
+/// A store reader that responds to one request in `parts` parts, or stops before the last one.
+fn store_reader(parts: usize, stops: bool) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     thread::spawn(move || {
         let (mut stream, _) = listener.accept().unwrap();
-        let mut question = String::new();
+        let mut request = String::new();
         let mut reader = BufReader::new(stream.try_clone().unwrap());
-        reader.read_line(&mut question).unwrap();
-        thread::sleep(PART);
+        reader.read_line(&mut request).unwrap();
+        thread::sleep(PART_DELAY);
         stream.write_all(b"!\"Heard\"\r\n").unwrap();
-        let packed = Packed::new(&news()).unwrap();
+        let packed = Packed::new(&update()).unwrap();
         let packed = serde_json::to_string(&packed).unwrap();
-        let answer = format!("!{{\"News\":{packed}}}\r\n");
+        let response = format!("!{{\"News\":{packed}}}\r\n");
         let sent = parts - usize::from(stops);
-        for part in answer
+        for part in response
             .as_bytes()
-            .chunks(answer.len().div_ceil(parts))
+            .chunks(response.len().div_ceil(parts))
             .take(sent)
         {
-            thread::sleep(PART);
+            thread::sleep(PART_DELAY);
             stream.write_all(part).unwrap();
         }
-        // It stays open until the follower closes it.
-        let _ = reader.read_line(&mut question);
+        // The connection stays open until the follower closes it.
+        let _ = reader.read_line(&mut request);
     });
     address
 }
@@ -67,17 +67,17 @@
     })
 }
 
-/// Guards against a data centre whose proxies all fetch a large configuration from the store
-/// themselves, because their neighbour needs longer for it than for small news.
+/// Guards against a data centre whose proxies all fetch a large configuration directly from the
+/// store, because their store reader needs longer for it than for a small update.
 #[test]
-fn news_that_arrive_in_parts_are_waited_for() {
-    let told = follow(neighbour(5, false));
-    assert!(told == Some(news()), "the news were not heard");
+fn an_update_that_arrives_in_parts_is_received() {
+    let received = follow(store_reader(5, false));
+    assert!(received == Some(update()), "the update was not received");
 }
 
-/// Guards against waiting for a neighbour that has gone in the middle of its answer.
+/// Guards against waiting for a store reader that stopped in the middle of its response.
 #[test]
-fn news_that_stop_are_given_up() {
-    let told = follow(neighbour(5, true));
-    assert!(told.is_none(), "half of the news were taken for all");
+fn an_incomplete_update_times_out() {
+    let received = follow(store_reader(5, true));
+    assert!(received.is_none(), "an incomplete update was accepted");
 }
--- a/crates/front/tests/intents.rs
+++ b/crates/front/tests/intents.rs
@@ -37,9 +37,9 @@
         id: "p1".parse().unwrap(),
         data_centre: "a".parse().unwrap(),
     };
-    let ways = Ways::new(me.data_centre.clone(), IndexMap::new());
+    let distances = Ways::new(me.data_centre.clone(), IndexMap::new());
     let (_stopper, stop) = stop::pair();
-    let cx = Rc::new(Cx::new(ways, Metrics::new().unwrap(), stop));
+    let cx = Rc::new(Cx::new(distances, Metrics::new().unwrap(), stop));
     let (changed, _) = flume::bounded(1);
     let directory = Directory::new(cx, me, changed, Duration::from_secs(4), |_| true);
     let coordinator_record = coordinator_record(&client).await;
