--- a/crates/front/src/checkout.rs
+++ b/crates/front/src/checkout.rs
@@ -13,7 +13,7 @@
 
 use crate::clock;
 use crate::cx::Cx;
-use crate::group::Lent;
+use crate::group::CheckedOut;
 use crate::relay;
 
 /// Retry hint while a group is not known yet; the store reports it within a second.
@@ -84,7 +84,11 @@
 
 impl Cx {
     /// Waits for a connection to a group, from this proxy or from another one.
-    pub async fn checkout(&self, group: &GroupId, mut req: ConnRequest) -> Result<Lent, Rejection> {
+    pub async fn checkout(
+        &self,
+        group: &GroupId,
+        mut req: ConnRequest,
+    ) -> Result<CheckedOut, Rejection> {
         while clock::now() < req.deadline {
             match self.pooler_conn(group, &req).await {
                 Ok(result) => return result,
@@ -106,8 +110,8 @@
         &self,
         group: &GroupId,
         req: &ConnRequest,
-    ) -> Result<Result<Lent, Rejection>, Next> {
-        let mut poolers = self.sources.poolers(group).into_iter().peekable();
+    ) -> Result<Result<CheckedOut, Rejection>, Next> {
+        let mut poolers = self.conn_sources.poolers(group).into_iter().peekable();
         let mut attempts = PoolerAttempts::default();
         while let Some(pooler) = poolers.next() {
             let Some(address) = pooler.address else {
@@ -134,12 +138,16 @@
 
     /// Waits for a connection of this proxy, or uses another proxy if no instance that could
     /// serve the request is reachable from here.
-    async fn own_conn(&self, group: &GroupId, mut req: ConnRequest) -> Result<Lent, Rejection> {
+    async fn own_conn(
+        &self,
+        group: &GroupId,
+        mut req: ConnRequest,
+    ) -> Result<CheckedOut, Rejection> {
         let Some(handle) = self.group(group) else {
             return Err(unknown());
         };
         loop {
-            match handle.ask(req.clone()).await {
+            match handle.request(req.clone()).await {
                 Err(rejection) if rejection.reason == Reason::Unreachable && !req.may_wait => {}
                 result => return result,
             }
@@ -156,29 +164,29 @@
         &self,
         group: &GroupId,
         req: &ConnRequest,
-    ) -> Option<Result<Lent, Rejection>> {
-        let peers = match self.sources.fallback_choice(group) {
+    ) -> Option<Result<CheckedOut, Rejection>> {
+        let peers = match self.conn_sources.fallback_choice(group) {
             FallbackChoice::Known(peer) => vec![peer],
             FallbackChoice::Search(peers) => peers,
             FallbackChoice::None => return None,
         };
         for peer in peers {
-            let Some(address) = self.sources.address(group, &peer) else {
-                self.sources.lost(group, &peer);
+            let Some(address) = self.conn_sources.address(group, &peer) else {
+                self.conn_sources.lost(group, &peer);
                 continue;
             };
             match self.relay.checkout(&peer, address, group, req).await {
                 Ok(lent) => {
-                    if self.sources.found(group, &peer) {
+                    if self.conn_sources.found(group, &peer) {
                         tracing::info!(%group, %peer, instance = %lent.instance, "an unreachable group is served through another proxy");
                         if let Some(handle) = self.group(group) {
-                            handle.release();
+                            handle.reject_unreachable();
                         }
                     }
                     return Some(Ok(lent));
                 }
                 Err(relay::CheckoutFailure::Rejected(rejection)) => return Some(Err(rejection)),
-                Err(relay::CheckoutFailure::NotGranted(_)) => self.sources.lost(group, &peer),
+                Err(relay::CheckoutFailure::NotGranted(_)) => self.conn_sources.lost(group, &peer),
             }
         }
         None
--- a/crates/front/src/coordinator.rs
+++ b/crates/front/src/coordinator.rs
@@ -252,7 +252,7 @@
         if order::pending(self, id).is_some_and(|pending| pending != primary) {
             return Some((primary, Cause::Unfinished));
         }
-        let instances = self.directory.with(|s| s.members(group.group()));
+        let instances = self.directory.with(|s| s.instances(group.group()));
         let leaving = instances.iter().any(|(e, _)| e.id == primary && e.leaving);
         let successor = instances
             .iter()
@@ -277,7 +277,7 @@
         });
         self.directory.with(|state| {
             let suspicions = Suspicions {
-                by_proxy: state.doubts(group).chain(reported).collect(),
+                by_proxy: state.suspicions(group).chain(reported).collect(),
                 primary: primary.cloned(),
                 recently_promoted: self.promotions.recently_promoted(group),
                 holders: state.holders(group) as usize,
--- a/crates/front/src/coordinator/change_intent.rs
+++ b/crates/front/src/coordinator/change_intent.rs
@@ -5,7 +5,7 @@
 
 use super::Coordinator;
 use super::takeover::RETRY_DELAY;
-use crate::directory::Call;
+use crate::directory::IntentKind;
 
 /// The intent of a change, which is written concurrently with the first surveys.
 pub(super) struct ChangeIntent {
@@ -46,7 +46,7 @@
 async fn write(this: &Coordinator, group: &GroupId, epoch: Revision) -> Option<Revision> {
     let revision = this
         .directory
-        .note(&this.store, epoch, Call::Change, group, &[]);
+        .record_intent(&this.store, epoch, IntentKind::Change, group, &[]);
     match revision.await {
         Ok(revision) => Some(revision),
         Err(e) => {
--- a/crates/front/src/coordinator/order.rs
+++ b/crates/front/src/coordinator/order.rs
@@ -13,7 +13,7 @@
 use super::Coordinator;
 use super::queries::InstanceQueries;
 use crate::clock;
-use crate::directory::Call;
+use crate::directory::IntentKind;
 
 /// An order that was sent.
 pub(super) struct SentOrder {
@@ -64,7 +64,7 @@
     let name = next.as_str().as_bytes();
     let intent = match this
         .directory
-        .note(&this.store, *epoch, Call::Lead, group, name)
+        .record_intent(&this.store, *epoch, IntentKind::Lead, group, name)
         .await
     {
         Ok(intent) => intent,
@@ -106,7 +106,7 @@
         }
         let since = clock::now().since(self.at);
         if order::is_settled(self.response, self.earlier_pending, promoted, since) {
-            delete_intent(this, group, Call::Lead, self.intent).await;
+            delete_intent(this, group, IntentKind::Lead, self.intent).await;
         }
     }
 }
@@ -144,7 +144,7 @@
     let Some(sent) = sent.filter(|sent| sent.response == Some(OrderResponse::Accepted)) else {
         return false;
     };
-    delete_intent(this, &basis.group, Call::Lead, sent.intent).await;
+    delete_intent(this, &basis.group, IntentKind::Lead, sent.intent).await;
     true
 }
 
@@ -153,18 +153,18 @@
 pub(super) async fn delete_replaced(this: &Coordinator, group: &GroupId) {
     let replaced = this
         .directory
-        .with(|s| s.order_replaced(group, clock::now()));
+        .with(|s| s.replaced_order(group, clock::now()));
     if let Some(intent) = replaced {
         tracing::info!(%group, "the instance to promote was replaced at its address: its order is void");
-        delete_intent(this, group, Call::Lead, intent).await;
+        delete_intent(this, group, IntentKind::Lead, intent).await;
     }
 }
 
 /// Deletes the intent of a call that can no longer be carried out.
-pub(super) async fn delete_expired(this: &Coordinator, group: &GroupId, call: Call) {
+pub(super) async fn delete_expired(this: &Coordinator, group: &GroupId, call: IntentKind) {
     let expired = this
         .directory
-        .with(|s| s.note_expired(call, group, clock::now()));
+        .with(|s| s.expired_intent(call, group, clock::now()));
     if let Some(intent) = expired {
         delete_intent(this, group, call, intent).await;
     }
@@ -175,12 +175,12 @@
 pub(super) async fn delete_intent(
     this: &Coordinator,
     group: &GroupId,
-    call: Call,
+    call: IntentKind,
     intent: Revision,
 ) {
     let deleted = this
         .directory
-        .forget_note(&this.store, call, group, intent)
+        .delete_intent(&this.store, call, group, intent)
         .await;
     if let Err(e) = deleted {
         tracing::info!(%group, ?call, cause = %e, "an intent was not deleted");
--- a/crates/front/src/coordinator/queries.rs
+++ b/crates/front/src/coordinator/queries.rs
@@ -112,12 +112,12 @@
             let timeout = self.timeout(&entry.id);
             let group = self.group.clone();
             async move {
-                let lent = group.ask(control_request(entry, timeout)).await;
+                let lent = group.request(control_request(entry, timeout)).await;
                 let mut lent = lent.map_err(|_| ConnError::Timeout)?;
                 let conn = lent.conn().ok_or(ConnError::Timeout)?;
                 let state = conn.state(own, timeout).await;
                 if matches!(state, Ok(_) | Err(ConnError::Refused(_))) {
-                    lent.give_back();
+                    lent.release();
                 }
                 state
             }
@@ -167,7 +167,7 @@
 
     /// The group's instances, and whether each is announced.
     pub(super) fn entries(&self, this: &Coordinator) -> Vec<(Entry, bool)> {
-        this.directory.with(|s| s.members(self.group.group()))
+        this.directory.with(|s| s.instances(self.group.group()))
     }
 
     /// Queries the states of instances. `is_queried` selects them; `same_region` tells which are
--- a/crates/front/src/coordinator/resume.rs
+++ b/crates/front/src/coordinator/resume.rs
@@ -8,7 +8,7 @@
 use super::queries::InstanceQueries;
 use super::report;
 use super::{Coordinator, order};
-use crate::directory::Call;
+use crate::directory::IntentKind;
 use crate::{clock, group};
 
 /// Resumes replicas that were paused by a change of primary that did not finish.
@@ -17,7 +17,7 @@
 /// pause command may be carried out seconds late. A replica that stays paused receives nothing,
 /// its reads are refused, and with all replicas paused no write completes.
 pub(super) async fn repair(this: &Coordinator, epoch: Revision, group: group::Handle) {
-    for call in [Call::Receive, Call::Lead] {
+    for call in [IntentKind::Receive, IntentKind::Lead] {
         order::delete_expired(this, group.group(), call).await;
     }
     let mut queries = InstanceQueries::new(group, epoch);
@@ -34,7 +34,9 @@
 pub(super) async fn resume(this: &Coordinator, queries: &mut InstanceQueries) {
     let group = queries.group.group().clone();
     order::delete_replaced(this, &group).await;
-    let intent = this.directory.with(|s| s.noted(Call::Change, &group));
+    let intent = this
+        .directory
+        .with(|s| s.intent_revision(IntentKind::Change, &group));
     // Without the coordinator role it may be the intent of a successor's change.
     let intent =
         Some(intent).filter(|intent| *intent > Revision(0) && this.holds_role(queries.epoch));
@@ -56,7 +58,7 @@
     // No order for another instance is pending, so connections to replicas that lost their pause
     // by a restart may be eligible again.
     if let Some(intent) = intent {
-        order::delete_intent(this, &group, Call::Change, intent).await;
+        order::delete_intent(this, &group, IntentKind::Change, intent).await;
     }
     order::void_earlier(this, queries, &primary.id).await;
     let paused = paused(&instances);
@@ -87,7 +89,7 @@
         .with(|s| s.resume_pending(&group, clock::now()));
     let intent = match this
         .directory
-        .note(&this.store, queries.epoch, Call::Receive, &group, &[])
+        .record_intent(&this.store, queries.epoch, IntentKind::Receive, &group, &[])
         .await
     {
         Ok(intent) => intent,
@@ -105,6 +107,6 @@
     tracing::info!(%group, "replicas were sent the resume command");
     report::log_states(&group, &states);
     if states.len() == paused.len() && !earlier_pending {
-        order::delete_intent(this, &group, Call::Receive, intent).await;
+        order::delete_intent(this, &group, IntentKind::Receive, intent).await;
     }
 }
--- a/crates/front/src/pending_changes.rs
+++ b/crates/front/src/pending_changes.rs
@@ -229,8 +229,8 @@
 }
 
 async fn list_changing(client: &Client) -> Option<IndexSet<GroupId>> {
-    match kv::list(client, directory::Call::Change.prefix()).await {
-        Ok(listing) => Some(directory::noted(&listing)),
+    match kv::list(client, directory::IntentKind::Change.prefix()).await {
+        Ok(listing) => Some(directory::pending_changes(&listing)),
         Err(e) => {
             tracing::info!(cause = %e, "the pending changes of primary could not be read from the store");
             None
--- a/crates/front/src/registration.rs
+++ b/crates/front/src/registration.rs
@@ -21,7 +21,7 @@
 
 use crate::clock;
 use crate::cx::Cx;
-use crate::directory::{Announced, DOUBTS, Directory, PROXIES};
+use crate::directory::{Announced, Directory, PROXIES, SUSPICIONS};
 use coordinator_lease::CoordinatorLease;
 use lease::Lease;
 
@@ -150,7 +150,7 @@
         lease: LeaseId,
     ) -> Result<(), Error> {
         let previous = self.suspicions.borrow().get(group).cloned();
-        let key = format!("{DOUBTS}{group}/{}", self.id);
+        let key = format!("{SUSPICIONS}{group}/{}", self.id);
         match (previous, suspicion) {
             (previous, Some((instance, cause)))
                 if previous
--- a/crates/front/src/registration/coordinator_lease.rs
+++ b/crates/front/src/registration/coordinator_lease.rs
@@ -152,8 +152,8 @@
         ttl: Duration,
         expected: Revision,
     ) -> Result<(), Error> {
-        let delay =
-            directory.with(|s| election::candidacy_delay(&self.id, s.live(), &mut rand::rng()));
+        let delay = directory
+            .with(|s| election::candidacy_delay(&self.id, s.proxy_ids(), &mut rand::rng()));
         compio::time::sleep(delay.as_duration()).await;
         let at = |record: &Record| record.revision;
         let taken = directory.with(|s| s.coordinator().map_or(Revision(0), at)) != expected;
@@ -167,7 +167,7 @@
         match kv::swap(client, COORDINATOR, expected, nonce, lease.id).await? {
             Outcome::Applied(revision) => {
                 tracing::info!(%revision, "this proxy coordinates changes of primary");
-                directory.note_coordinator(Record {
+                directory.update_coordinator(Record {
                     key: COORDINATOR.to_owned(),
                     value: nonce.to_vec(),
                     revision,
@@ -176,7 +176,7 @@
             Outcome::Conflict(held) => {
                 let ours = self.holder(held.as_ref()) == Holder::Ours;
                 if let Some(held) = held {
-                    directory.note_coordinator(held);
+                    directory.update_coordinator(held);
                 }
                 if !ours {
                     self.end_lease(client, lease.id).await;
--- a/crates/front/src/relay.rs
+++ b/crates/front/src/relay.rs
@@ -23,7 +23,7 @@
 
 use crate::clock;
 use crate::feed::Packed;
-use crate::group::Note;
+use crate::group::Feedback;
 use crate::health::Reports;
 
 pub use client::{CheckoutFailure, Client, ReturnPath};
@@ -98,7 +98,7 @@
     took: Option<Span>,
     /// End of the instance's log, as its last response showed it.
     shown: Option<Point>,
-    notes: Vec<Note>,
+    notes: Vec<Feedback>,
 }
 
 /// State that an instance holds for a connection.
--- a/crates/front/src/relay/client.rs
+++ b/crates/front/src/relay/client.rs
@@ -19,7 +19,7 @@
 use crate::clock;
 use crate::conn::{Conn, ConnError};
 use crate::feed::PackError;
-use crate::group::{Lent, Note};
+use crate::group::{CheckedOut, Feedback};
 use crate::health::Reports;
 
 /// Most idle connections that are kept open to one proxy.
@@ -86,7 +86,7 @@
         address: SocketAddr,
         group: &GroupId,
         request: &ConnRequest,
-    ) -> Result<Lent, CheckoutFailure> {
+    ) -> Result<CheckedOut, CheckoutFailure> {
         let now = clock::now();
         let until = self.0.skip_until.borrow().get(pooler).copied();
         if until.is_some_and(|until| now < until) {
@@ -258,7 +258,7 @@
         address: SocketAddr,
         group: &GroupId,
         request: &ConnRequest,
-    ) -> Result<Lent, TryError> {
+    ) -> Result<CheckedOut, TryError> {
         let message = to_wire(group, request).ok_or(TryError::NotGranted(
             pooler_retry::GrantFailure::Unreachable,
         ))?;
@@ -289,7 +289,13 @@
                     pooler: pooler.clone(),
                     group: group.clone(),
                 };
-                Ok(Lent::relayed(return_path, instance, after, prove, conn))
+                Ok(CheckedOut::relayed(
+                    return_path,
+                    instance,
+                    after,
+                    prove,
+                    conn,
+                ))
             }
             FromPooler::Refused(rejection) => {
                 self.keep(pooler, conn);
@@ -304,7 +310,7 @@
         pooler: &ProxyId,
         conn: Conn,
         response: &FromPooler,
-    ) -> Result<Lent, TryError> {
+    ) -> Result<CheckedOut, TryError> {
         self.keep(pooler, conn);
         Err(TryError::NotGranted(match response {
             FromPooler::Starting => pooler_retry::GrantFailure::Starting,
@@ -332,7 +338,7 @@
     pub async fn release_acknowledged(
         &self,
         mut conn: Conn,
-        notes: Vec<Note>,
+        notes: Vec<Feedback>,
         write: Write,
         deadline: Time,
     ) -> bool {
@@ -362,7 +368,7 @@
     }
 
     /// Returns a connection; `usable` says whether it may be reused.
-    pub fn release(&self, mut conn: Conn, usable: bool, notes: Vec<Note>) {
+    pub fn release(&self, mut conn: Conn, usable: bool, notes: Vec<Feedback>) {
         let returned = returned(&mut conn, usable, notes);
         let this = self.clone();
         compio::runtime::spawn(async move {
@@ -379,7 +385,7 @@
     }
 }
 
-fn returned(conn: &mut Conn, usable: bool, notes: Vec<Note>) -> Returned {
+fn returned(conn: &mut Conn, usable: bool, notes: Vec<Feedback>) -> Returned {
     Returned {
         usable,
         held: conn.held(),
--- a/crates/front/src/relay/pooler.rs
+++ b/crates/front/src/relay/pooler.rs
@@ -13,7 +13,7 @@
 use crate::clock;
 use crate::conn::Conn;
 use crate::cx::Cx;
-use crate::group::{Lent, Note};
+use crate::group::{CheckedOut, Feedback};
 use crate::stop::Phase;
 use crate::stream::{self, Reader, StreamError, Writer};
 use platform::line;
@@ -61,8 +61,8 @@
         };
         writer.send(encode(&FromPooler::Heard)).await?;
         // Counted like a session, so that the shutdown waits for the checkout.
-        let _entered = cx.enter();
-        match handle.ask(request).await {
+        let _entered = cx.count_session();
+        match handle.request(request).await {
             Ok(lent) => serve_checkout(lent, &mut reader, &mut writer).await?,
             Err(rejection) if rejection.reason == Reason::Unreachable => {
                 writer.send(encode(&FromPooler::OutOfReach)).await?;
@@ -97,10 +97,10 @@
             point,
             left,
         } => {
-            let _entered = cx.enter();
+            let _entered = cx.count_session();
             let write = Write { primary, point };
             FromPooler::Proved(match cx.group(&group) {
-                Some(handle) => handle.prove(write, clock::now() + left).await,
+                Some(handle) => handle.await_ack(write, clock::now() + left).await,
                 None => false,
             })
         }
@@ -113,14 +113,14 @@
 }
 
 async fn serve_checkout(
-    mut lent: Lent,
+    mut lent: CheckedOut,
     reader: &mut Reader,
     writer: &mut Writer,
 ) -> Result<(), StreamError> {
     let granted = FromPooler::Granted {
         instance: lent.instance.clone(),
         after: lent.after,
-        prove: lent.prove,
+        prove: lent.verify_primary,
         held: lent.conn().map(|c| c.held()).unwrap_or_default(),
     };
     let granted_at = clock::now();
@@ -135,7 +135,7 @@
         }
         Err(PipeError::Instance(e)) => {
             tracing::info!(instance = %lent.instance, cause = %e, "a checked-out connection broke");
-            lent.note(Note::Silent);
+            lent.record_feedback(Feedback::Silent);
             Err(e)
         }
         // The client proxy is gone; closing the connection rolls its transaction back.
@@ -143,9 +143,9 @@
     }
 }
 
-fn release(mut lent: Lent, granted_at: Time, returned: Returned) {
+fn release(mut lent: CheckedOut, granted_at: Time, returned: Returned) {
     for note in returned.notes {
-        lent.note(note);
+        lent.record_feedback(note);
     }
     if !returned.usable {
         return;
@@ -158,7 +158,7 @@
         });
         conn.set_outcome(proof, returned.took, returned.shown);
     }
-    lent.give_back();
+    lent.release();
 }
 
 /// Which side ended a checkout before the connection was returned.
--- a/crates/front/src/session/attempt.rs
+++ b/crates/front/src/session/attempt.rs
@@ -13,7 +13,7 @@
 use super::{Failure, Job, Outcome, Session};
 use crate::clock;
 use crate::conn::{self, ConnError, Payload, Response, Setup, SetupOutcome, Values};
-use crate::group::{Lent, Note};
+use crate::group::{CheckedOut, Feedback};
 
 /// Attempts per statement. A statement is retried only if the attempt before certainly did
 /// not run, or only read; each attempt uses another instance if there is one.
@@ -40,8 +40,8 @@
 
 impl Lost {
     /// Reports the loss to the group and logs it.
-    pub(super) fn new(lent: &Lent, job: &Job, e: &ConnError) -> Self {
-        lent.note(Note::Silent);
+    pub(super) fn new(lent: &CheckedOut, job: &Job, e: &ConnError) -> Self {
+        lent.record_feedback(Feedback::Silent);
         tracing::warn!(id = %job.id, instance = %lent.instance, cause = %e, "a response was lost");
         Self
     }
@@ -70,14 +70,14 @@
 /// Sends one statement and waits for its response. With `stalls`, a late response is reported
 /// as a sign of a primary that cannot reach its replicas.
 pub(super) async fn send(
-    lent: &mut Lent,
+    lent: &mut CheckedOut,
     job: &Job,
     after: Option<Point>,
     payload: &Payload,
     stalls: bool,
     limit: Span,
 ) -> Result<Response, Lost> {
-    let (instance, note) = (lent.instance.clone(), lent.noter());
+    let (instance, note) = (lent.instance.clone(), lent.feedback_sender());
     let result = {
         let Some(conn) = lent.conn() else {
             return Err(Lost);
@@ -95,7 +95,7 @@
                 result = run => result,
                 () = slow => {
                     tracing::info!(id = %job.id, %instance, "a write has no response yet");
-                    note(Note::WriteStalls);
+                    note(Feedback::WriteStalls);
                     run.await
                 }
             }
@@ -107,7 +107,7 @@
 }
 
 /// Records that a response shows the instance to be the primary.
-pub(super) fn record_proof(lent: &mut Lent, since: Time, response: &Response) {
+pub(super) fn record_proof(lent: &mut CheckedOut, since: Time, response: &Response) {
     if let Some(conn) = lent.conn() {
         conn.record_proof(since, response);
     }
@@ -116,12 +116,12 @@
 /// Releases a connection and, if `until` is set, waits for a replica to acknowledge the write
 /// that ended at `point`.
 pub(super) async fn release_acknowledged(
-    lent: Lent,
+    lent: CheckedOut,
     point: Option<Point>,
     until: Option<Time>,
 ) -> Result<(), Failure> {
     let Some(until) = until else {
-        lent.give_back();
+        lent.release();
         return Ok(());
     };
     let Some(point) = point else {
@@ -131,22 +131,22 @@
     // A response just before the statement's deadline leaves too little time, so the reply
     // may come after the deadline.
     let until = until.max(clock::now() + MIN_ACK_WAIT);
-    match lent.prove(point, until).await {
+    match lent.release_and_await_ack(point, until).await {
         true => Ok(()),
         false => Err(Failure::Unacknowledged),
     }
 }
 
 /// Reports to the group what an error code shows about the instance.
-pub(super) fn report_rejection(lent: &Lent, code: Code) {
+pub(super) fn report_rejection(lent: &CheckedOut, code: Code) {
     match code {
-        Code::ReadOnly => lent.note(Note::ReadOnly),
+        Code::ReadOnly => lent.record_feedback(Feedback::ReadOnly),
         Code::Behind => {
             if let Some(point) = lent.after {
-                lent.note(Note::Lacks(point));
+                lent.record_feedback(Feedback::Lacks(point));
             }
         }
-        Code::Busy => lent.note(Note::Busy),
+        Code::Busy => lent.record_feedback(Feedback::Busy),
         _ => {}
     }
 }
@@ -154,11 +154,11 @@
 /// Releases a connection on which a transaction was rejected, which leaves it unchanged.
 /// After any other rejection the state that the instance holds for it is unknown, so it is
 /// closed.
-pub(super) fn release_after_rejection(mut lent: Lent, code: Code) {
+pub(super) fn release_after_rejection(mut lent: CheckedOut, code: Code) {
     let begin_rejected = matches!(code, Code::Behind | Code::ReadOnly | Code::Busy);
     let idle = lent.conn().is_some_and(|c| c.is_idle());
     if begin_rejected && idle {
-        lent.give_back();
+        lent.release();
     }
 }
 
@@ -314,12 +314,12 @@
 
 impl Attempt<'_> {
     /// Runs the statement on a connection and releases the connection.
-    pub(super) async fn run(&self, mut lent: Lent) -> Result<Outcome, AttemptFailure> {
+    pub(super) async fn run(&self, mut lent: CheckedOut) -> Result<Outcome, AttemptFailure> {
         let setup = Setup {
             values: Some(self.values),
             shape: self.payload.shape(),
             begin: None,
-            verify_primary: lent.prove,
+            verify_primary: lent.verify_primary,
         };
         let after = lent.after;
         let Some(conn) = lent.conn() else {
@@ -346,14 +346,14 @@
 
     async fn settle(
         &self,
-        mut lent: Lent,
+        mut lent: CheckedOut,
         since: Time,
         response: Response,
     ) -> Result<Outcome, AttemptFailure> {
         let Some(code) = response.code else {
             if self.access == Access::Write {
                 record_proof(&mut lent, since, &response);
-                lent.note(Note::Wrote);
+                lent.record_feedback(Feedback::Wrote);
             }
             let outcome = Outcome {
                 lines: response.lines,
@@ -372,7 +372,7 @@
             conn.clear_prepared();
         }
         if response.state == TxState::Idle {
-            lent.give_back();
+            lent.release();
         }
         let not_run = matches!(
             code,
--- a/crates/front/src/session/read.rs
+++ b/crates/front/src/session/read.rs
@@ -16,7 +16,7 @@
 use super::{Failure, Job, Outcome, Session};
 use crate::clock;
 use crate::conn::{Payload, Values};
-use crate::group::Lent;
+use crate::group::CheckedOut;
 
 /// Time without a response after which a read is also sent to another instance. If an
 /// instance is unreachable or loses responses, each of its reads would otherwise wait for the
@@ -93,7 +93,13 @@
     }
 }
 
-fn run(job: Job, payload: Payload, values: Rc<Values>, limit: Span, lent: Lent) -> RunningAttempt {
+fn run(
+    job: Job,
+    payload: Payload,
+    values: Rc<Values>,
+    limit: Span,
+    lent: CheckedOut,
+) -> RunningAttempt {
     Box::pin(async move {
         let attempt = Attempt {
             job: &job,
--- a/crates/front/src/session/tx.rs
+++ b/crates/front/src/session/tx.rs
@@ -9,7 +9,7 @@
 use super::{Failure, Job, Outcome, Session};
 use crate::clock;
 use crate::conn::{Payload, Setup, SetupOutcome};
-use crate::group::{Lent, Note};
+use crate::group::{CheckedOut, Feedback};
 
 /// Longest wait for a rollback; after it the connection is closed, which rolls the transaction
 /// back as well.
@@ -35,7 +35,7 @@
 }
 
 pub(super) struct OpenTx {
-    lent: Lent,
+    lent: CheckedOut,
     route: Route,
     wrote: bool,
     access: Access,
@@ -97,7 +97,7 @@
         let limit = ROLLBACK_TIMEOUT.as_duration();
         let Some(conn) = self.lent.conn() else { return };
         match conn.roll_back(limit).await {
-            Ok(()) => self.lent.give_back(),
+            Ok(()) => self.lent.release(),
             Err(e) => {
                 // Dropping `lent` closes the connection, and the instance rolls back.
                 tracing::info!(instance = %self.lent.instance, cause = %e, "a transaction could not be rolled back; its connection is closed");
@@ -164,7 +164,7 @@
                     if open.wrote {
                         self.own_write = self.own_write.max(response.point);
                         attempt::record_proof(&mut open.lent, since, &response);
-                        open.lent.note(Note::Wrote);
+                        open.lent.record_feedback(Feedback::Wrote);
                     }
                     let outcome = Outcome {
                         lines: response.lines,
@@ -187,10 +187,10 @@
                 }
                 Some(code) => {
                     if code == Code::ReadOnly {
-                        open.lent.note(Note::ReadOnly);
+                        open.lent.record_feedback(Feedback::ReadOnly);
                     }
                     if response.state == TxState::Idle {
-                        open.lent.give_back();
+                        open.lent.release();
                     } else {
                         Box::new(open).roll_back().await;
                     }
@@ -255,7 +255,7 @@
                 None => {
                     if open.access == Access::Write {
                         attempt::record_proof(&mut open.lent, since, &response);
-                        open.lent.tell_proof();
+                        open.lent.report_proof();
                     }
                     return Ok(Outcome {
                         lines: response.lines,
@@ -270,7 +270,7 @@
                 }
                 Some(code) => {
                     if code == Code::ReadOnly {
-                        open.lent.note(Note::ReadOnly);
+                        open.lent.record_feedback(Feedback::ReadOnly);
                     }
                     return Err(Failure::Instance(code));
                 }
@@ -310,14 +310,14 @@
                 values: Some(&self.values),
                 shape,
                 begin: Some((access, lent.after)),
-                verify_primary: lent.prove,
+                verify_primary: lent.verify_primary,
             };
-            let (after, prove) = (lent.after, lent.prove);
+            let (after, prove) = (lent.after, lent.verify_primary);
             let Some(conn) = lent.conn() else { continue };
             let set = conn.set_up(setup, route.time_limit.as_duration()).await;
             match set {
                 Ok(SetupOutcome::Ready) => {
-                    lent.tell_proof();
+                    lent.report_proof();
                     let open = OpenTx {
                         lent,
                         route: route.clone(),
