--- a/crates/front/src/coordinator/queries.rs
+++ b/crates/front/src/coordinator/queries.rs
@@ -138,7 +138,7 @@
                     };
                     set.insert(entry.id.clone());
                     let group = self.group.group();
-                    tracing::info!(%group, instance = %entry.id, is_queried = ?own, cause = %e, "an instance did not respond to the coordinator");
+                    tracing::info!(%group, instance = %entry.id, asked = ?own, cause = %e, "an instance did not respond to the coordinator");
                 }
             }
         }
--- a/crates/peer/src/auth.rs
+++ b/crates/peer/src/auth.rs
@@ -31,10 +31,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum AuthError {
     /// Header fields are missing or malformed.
-    #[error("the signature is missing or malformed")]
+    #[error("the request carries no proof")]
     Missing,
     /// The MAC does not match: another secret, or an altered message.
-    #[error("the signature does not match")]
+    #[error("the proof does not match")]
     Mismatch,
     /// The request's time is outside the accepted window.
     #[error("the request's time is {0} ms off")]
--- a/crates/peer/src/client.rs
+++ b/crates/peer/src/client.rs
@@ -27,16 +27,16 @@
     #[error("the connection to the peer failed: {0}")]
     Connection(#[source] cyper::Error),
     /// No response within the time limit.
-    #[error("the peer did not respond within {0:?}")]
+    #[error("the peer did not answer within {0:?}")]
     Timeout(Duration),
     /// The peer did not accept the request as authentic.
-    #[error("the peer rejected the request's signature")]
+    #[error("the peer refused our proof")]
     Rejected,
     /// An HTTP status other than 200.
-    #[error("the peer responded with HTTP status {0}")]
+    #[error("the peer answered HTTP status {0}")]
     Status(u16),
     /// The response does not come from a holder of the secret.
-    #[error("the peer's response is not trusted: {0}")]
+    #[error("the peer's answer is not trusted: {0}")]
     Auth(#[from] AuthError),
     /// A message cannot be encoded or decoded.
     #[error(transparent)]
