--- a/crates/front/src/checkout.rs
+++ b/crates/front/src/checkout.rs
@@ -123,7 +123,7 @@
                 .checkout(&pooler.proxy, address, group, req)
                 .await
             {
-                Ok(lent) => return Ok(Ok(lent)),
+                Ok(checkout) => return Ok(Ok(checkout)),
                 Err(relay::CheckoutFailure::Rejected(rejection)) => return Ok(Err(rejection)),
                 Err(relay::CheckoutFailure::NotGranted(failure)) => {
                     match attempts.failed(failure, poolers.peek().is_some()) {
@@ -176,14 +176,14 @@
                 continue;
             };
             match self.relay.checkout(&peer, address, group, req).await {
-                Ok(lent) => {
+                Ok(checkout) => {
                     if self.conn_sources.found(group, &peer) {
-                        tracing::info!(%group, %peer, instance = %lent.instance, "an unreachable group is served through another proxy");
+                        tracing::info!(%group, %peer, instance = %checkout.instance, "an unreachable group is served through another proxy");
                         if let Some(handle) = self.group(group) {
                             handle.reject_unreachable();
                         }
                     }
-                    return Some(Ok(lent));
+                    return Some(Ok(checkout));
                 }
                 Err(relay::CheckoutFailure::Rejected(rejection)) => return Some(Err(rejection)),
                 Err(relay::CheckoutFailure::NotGranted(_)) => self.conn_sources.lost(group, &peer),
--- a/crates/front/src/coordinator/queries.rs
+++ b/crates/front/src/coordinator/queries.rs
@@ -112,12 +112,12 @@
             let timeout = self.timeout(&entry.id);
             let group = self.group.clone();
             async move {
-                let lent = group.request(control_request(entry, timeout)).await;
-                let mut lent = lent.map_err(|_| ConnError::Timeout)?;
-                let conn = lent.conn().ok_or(ConnError::Timeout)?;
+                let checkout = group.request(control_request(entry, timeout)).await;
+                let mut checkout = checkout.map_err(|_| ConnError::Timeout)?;
+                let conn = checkout.conn().ok_or(ConnError::Timeout)?;
                 let state = conn.state(own, timeout).await;
                 if matches!(state, Ok(_) | Err(ConnError::Refused(_))) {
-                    lent.release();
+                    checkout.release();
                 }
                 state
             }
--- a/crates/front/src/pages.rs
+++ b/crates/front/src/pages.rs
@@ -81,7 +81,7 @@
 async fn render(cx: &Cx, store: &Client) -> String {
     let (mut waiting, mut connections) = (0, 0);
     let reports = cx.reports.own();
-    let doubts = reports.values().filter(|c| c.suspicion.is_some()).count();
+    let suspected = reports.values().filter(|c| c.suspicion.is_some()).count();
     let lagging = reports.values().filter(|c| c.lags).count();
     for group in cx.groups() {
         let view = group.view().await;
@@ -93,7 +93,7 @@
         ("configuration_version", cx.routes().version),
         ("statements_waiting", waiting),
         ("connections", connections),
-        ("doubted_primaries", doubts as u64),
+        ("doubted_primaries", suspected as u64),
         ("lagging_groups", lagging as u64),
     ];
     match cx.metrics.render(store.calls(), &gauges) {
--- a/crates/front/src/relay/pooler.rs
+++ b/crates/front/src/relay/pooler.rs
@@ -63,7 +63,7 @@
         // Counted like a session, so that the shutdown waits for the checkout.
         let _entered = cx.count_session();
         match handle.request(request).await {
-            Ok(lent) => serve_checkout(lent, &mut reader, &mut writer).await?,
+            Ok(checkout) => serve_checkout(checkout, &mut reader, &mut writer).await?,
             Err(rejection) if rejection.reason == Reason::Unreachable => {
                 writer.send(encode(&FromPooler::OutOfReach)).await?;
             }
@@ -113,29 +113,29 @@
 }
 
 async fn serve_checkout(
-    mut lent: CheckedOut,
+    mut checkout: CheckedOut,
     reader: &mut Reader,
     writer: &mut Writer,
 ) -> Result<(), StreamError> {
     let granted = FromPooler::Granted {
-        instance: lent.instance.clone(),
-        after: lent.after,
-        prove: lent.verify_primary,
-        held: lent.conn().map(|c| c.held()).unwrap_or_default(),
+        instance: checkout.instance.clone(),
+        after: checkout.after,
+        prove: checkout.verify_primary,
+        held: checkout.conn().map(|c| c.held()).unwrap_or_default(),
     };
     let granted_at = clock::now();
     writer.send(encode(&granted)).await?;
-    let Some(conn) = lent.conn() else {
+    let Some(conn) = checkout.conn() else {
         return Err(StreamError::Closed);
     };
     match pipe(conn, reader, writer).await {
         Ok(returned) => {
-            release(lent, granted_at, returned);
+            release(checkout, granted_at, returned);
             Ok(())
         }
         Err(PipeError::Instance(e)) => {
-            tracing::info!(instance = %lent.instance, cause = %e, "a checked-out connection broke");
-            lent.record_feedback(Feedback::Silent);
+            tracing::info!(instance = %checkout.instance, cause = %e, "a checked-out connection broke");
+            checkout.record_feedback(Feedback::Silent);
             Err(e)
         }
         // The client proxy is gone; closing the connection rolls its transaction back.
@@ -143,14 +143,14 @@
     }
 }
 
-fn release(mut lent: CheckedOut, granted_at: Time, returned: Returned) {
+fn release(mut checkout: CheckedOut, granted_at: Time, returned: Returned) {
     for note in returned.notes {
-        lent.record_feedback(note);
+        checkout.record_feedback(note);
     }
     if !returned.usable {
         return;
     }
-    if let Some(conn) = lent.conn() {
+    if let Some(conn) = checkout.conn() {
         conn.set_held(&returned.held);
         let proof = returned.proof.map(|point| Proof {
             since: granted_at,
@@ -158,7 +158,7 @@
         });
         conn.set_outcome(proof, returned.took, returned.shown);
     }
-    lent.release();
+    checkout.release();
 }
 
 /// Which side ended a checkout before the connection was returned.
--- a/crates/front/src/session/attempt.rs
+++ b/crates/front/src/session/attempt.rs
@@ -40,9 +40,9 @@
 
 impl Lost {
     /// Reports the loss to the group and logs it.
-    pub(super) fn new(lent: &CheckedOut, job: &Job, e: &ConnError) -> Self {
-        lent.record_feedback(Feedback::Silent);
-        tracing::warn!(id = %job.id, instance = %lent.instance, cause = %e, "a response was lost");
+    pub(super) fn new(checkout: &CheckedOut, job: &Job, e: &ConnError) -> Self {
+        checkout.record_feedback(Feedback::Silent);
+        tracing::warn!(id = %job.id, instance = %checkout.instance, cause = %e, "a response was lost");
         Self
     }
 
@@ -70,16 +70,16 @@
 /// Sends one statement and waits for its response. With `stalls`, a late response is reported
 /// as a sign of a primary that cannot reach its replicas.
 pub(super) async fn send(
-    lent: &mut CheckedOut,
+    checkout: &mut CheckedOut,
     job: &Job,
     after: Option<Point>,
     payload: &Payload,
     stalls: bool,
     limit: Span,
 ) -> Result<Response, Lost> {
-    let (instance, note) = (lent.instance.clone(), lent.feedback_sender());
+    let (instance, note) = (checkout.instance.clone(), checkout.feedback_sender());
     let result = {
-        let Some(conn) = lent.conn() else {
+        let Some(conn) = checkout.conn() else {
             return Err(Lost);
         };
         let mut buf = Vec::new();
@@ -103,12 +103,12 @@
             run.await
         }
     };
-    result.map_err(|e| Lost::new(lent, job, &e))
+    result.map_err(|e| Lost::new(checkout, job, &e))
 }
 
 /// Records that a response shows the instance to be the primary.
-pub(super) fn record_proof(lent: &mut CheckedOut, since: Time, response: &Response) {
-    if let Some(conn) = lent.conn() {
+pub(super) fn record_proof(checkout: &mut CheckedOut, since: Time, response: &Response) {
+    if let Some(conn) = checkout.conn() {
         conn.record_proof(since, response);
     }
 }
@@ -116,37 +116,37 @@
 /// Releases a connection and, if `until` is set, waits for a replica to acknowledge the write
 /// that ended at `point`.
 pub(super) async fn release_acknowledged(
-    lent: CheckedOut,
+    checkout: CheckedOut,
     point: Option<Point>,
     until: Option<Time>,
 ) -> Result<(), Failure> {
     let Some(until) = until else {
-        lent.release();
+        checkout.release();
         return Ok(());
     };
     let Some(point) = point else {
-        tracing::warn!(instance = %lent.instance, "the response to a write has no position");
+        tracing::warn!(instance = %checkout.instance, "the response to a write has no position");
         return Err(Failure::Unacknowledged);
     };
     // A response just before the statement's deadline leaves too little time, so the reply
     // may come after the deadline.
     let until = until.max(clock::now() + MIN_ACK_WAIT);
-    match lent.release_and_await_ack(point, until).await {
+    match checkout.release_and_await_ack(point, until).await {
         true => Ok(()),
         false => Err(Failure::Unacknowledged),
     }
 }
 
 /// Reports to the group what an error code shows about the instance.
-pub(super) fn report_rejection(lent: &CheckedOut, code: Code) {
+pub(super) fn report_rejection(checkout: &CheckedOut, code: Code) {
     match code {
-        Code::ReadOnly => lent.record_feedback(Feedback::ReadOnly),
+        Code::ReadOnly => checkout.record_feedback(Feedback::ReadOnly),
         Code::Behind => {
-            if let Some(point) = lent.after {
-                lent.record_feedback(Feedback::Lacks(point));
+            if let Some(point) = checkout.after {
+                checkout.record_feedback(Feedback::Lacks(point));
             }
         }
-        Code::Busy => lent.record_feedback(Feedback::Busy),
+        Code::Busy => checkout.record_feedback(Feedback::Busy),
         _ => {}
     }
 }
@@ -154,11 +154,11 @@
 /// Releases a connection on which a transaction was rejected, which leaves it unchanged.
 /// After any other rejection the state that the instance holds for it is unknown, so it is
 /// closed.
-pub(super) fn release_after_rejection(mut lent: CheckedOut, code: Code) {
+pub(super) fn release_after_rejection(mut checkout: CheckedOut, code: Code) {
     let begin_rejected = matches!(code, Code::Behind | Code::ReadOnly | Code::Busy);
-    let idle = lent.conn().is_some_and(|c| c.is_idle());
+    let idle = checkout.conn().is_some_and(|c| c.is_idle());
     if begin_rejected && idle {
-        lent.release();
+        checkout.release();
     }
 }
 
@@ -213,8 +213,8 @@
         let mut attempts = Attempts::default();
         while attempts.any_left() {
             let request = request(job, Kind::Write, route, self.own_write);
-            let lent = self.cx.checkout(&route.group, request).await?;
-            let instance = lent.instance.clone();
+            let checkout = self.cx.checkout(&route.group, request).await?;
+            let instance = checkout.instance.clone();
             let attempt = Attempt {
                 job,
                 payload,
@@ -223,7 +223,7 @@
                 limit: route.time_limit,
                 ack_deadline: self.ack_deadline(route, deadline),
             };
-            match attempt.run(lent).await {
+            match attempt.run(checkout).await {
                 Ok(outcome) => {
                     self.own_write = self.own_write.max(outcome.point);
                     return Ok(outcome);
@@ -314,65 +314,73 @@
 
 impl Attempt<'_> {
     /// Runs the statement on a connection and releases the connection.
-    pub(super) async fn run(&self, mut lent: CheckedOut) -> Result<Outcome, AttemptFailure> {
+    pub(super) async fn run(&self, mut checkout: CheckedOut) -> Result<Outcome, AttemptFailure> {
         let setup = Setup {
             values: Some(self.values),
             shape: self.payload.shape(),
             begin: None,
-            verify_primary: lent.verify_primary,
+            verify_primary: checkout.verify_primary,
         };
-        let after = lent.after;
-        let Some(conn) = lent.conn() else {
+        let after = checkout.after;
+        let Some(conn) = checkout.conn() else {
             return Err(AttemptFailure::NotRun(Code::Busy));
         };
         match conn.set_up(setup, self.limit.as_duration()).await {
             Ok(SetupOutcome::Ready) => {}
             Ok(SetupOutcome::Rejected(code)) => {
-                report_rejection(&lent, code);
-                release_after_rejection(lent, code);
+                report_rejection(&checkout, code);
+                release_after_rejection(checkout, code);
                 return Err(AttemptFailure::NotRun(code));
             }
             Err(e) => {
-                Lost::new(&lent, self.job, &e);
+                Lost::new(&checkout, self.job, &e);
                 return Err(AttemptFailure::NotRun(Code::Aborted));
             }
         }
         let since = clock::now();
         let writes = self.access == Access::Write;
-        let response = send(&mut lent, self.job, after, self.payload, writes, self.limit).await;
+        let response = send(
+            &mut checkout,
+            self.job,
+            after,
+            self.payload,
+            writes,
+            self.limit,
+        )
+        .await;
         let response = response.map_err(AttemptFailure::NoResponse)?;
-        self.settle(lent, since, response).await
+        self.settle(checkout, since, response).await
     }
 
     async fn settle(
         &self,
-        mut lent: CheckedOut,
+        mut checkout: CheckedOut,
         since: Time,
         response: Response,
     ) -> Result<Outcome, AttemptFailure> {
         let Some(code) = response.code else {
             if self.access == Access::Write {
-                record_proof(&mut lent, since, &response);
-                lent.record_feedback(Feedback::Wrote);
+                record_proof(&mut checkout, since, &response);
+                checkout.record_feedback(Feedback::Wrote);
             }
             let outcome = Outcome {
                 lines: response.lines,
                 point: response.point,
-                instance: Some(lent.instance.clone()),
+                instance: Some(checkout.instance.clone()),
             };
-            release_acknowledged(lent, outcome.point, self.ack_deadline)
+            release_acknowledged(checkout, outcome.point, self.ack_deadline)
                 .await
                 .map_err(AttemptFailure::Final)?;
             return Ok(outcome);
         };
-        report_rejection(&lent, code);
+        report_rejection(&checkout, code);
         if code == Code::NotPrepared
-            && let Some(conn) = lent.conn()
+            && let Some(conn) = checkout.conn()
         {
             conn.clear_prepared();
         }
         if response.state == TxState::Idle {
-            lent.release();
+            checkout.release();
         }
         let not_run = matches!(
             code,
--- a/crates/front/src/session/read.rs
+++ b/crates/front/src/session/read.rs
@@ -44,8 +44,8 @@
             let mut request =
                 attempt::request(job, Kind::Read(route.guarantee), route, self.own_write);
             request.avoid = avoid.take();
-            let lent = match self.cx.checkout(&route.group, request).await {
-                Ok(lent) => lent,
+            let checkout = match self.cx.checkout(&route.group, request).await {
+                Ok(checkout) => checkout,
                 Err(rejection) => {
                     return match slow {
                         Some(slow) => slow.await.map_err(AttemptFailure::into_read_failure),
@@ -53,13 +53,13 @@
                     };
                 }
             };
-            avoid = Some(lent.instance.clone());
+            avoid = Some(checkout.instance.clone());
             let new = run(
                 job.clone(),
                 payload.clone(),
                 self.values.clone(),
                 route.time_limit,
-                lent,
+                checkout,
             );
             let result = match slow.take() {
                 Some(first) => first_success(first, new).await,
@@ -98,7 +98,7 @@
     payload: Payload,
     values: Rc<Values>,
     limit: Span,
-    lent: CheckedOut,
+    checkout: CheckedOut,
 ) -> RunningAttempt {
     Box::pin(async move {
         let attempt = Attempt {
@@ -109,7 +109,7 @@
             limit,
             ack_deadline: None,
         };
-        attempt.run(lent).await
+        attempt.run(checkout).await
     })
 }
 
