--- a/crates/front/tests/directory.rs
+++ b/crates/front/tests/directory.rs
@@ -1,5 +1,7 @@
 //! What the store's keys mean for the proxy, without a store.
 
+use std::sync::Once;
+
 use front::directory::{IntentKind, State};
 use model::id::GroupId;
 use model::position::Revision;
@@ -23,7 +25,18 @@
     }
 }
 
+/// Sets a subscriber for all threads. `tracing` caches per log line whether it is enabled; a
+/// line that a test without a subscriber reaches first would be disabled for all tests.
+fn enable_logs() {
+    static ENABLED: Once = Once::new();
+    ENABLED.call_once(|| {
+        let subscriber = tracing_subscriber::fmt().with_writer(std::io::sink);
+        tracing::subscriber::set_global_default(subscriber.finish()).unwrap();
+    });
+}
+
 fn state(records: Vec<Record>) -> State {
+    enable_logs();
     let mut state = State::default();
     let revision = Revision(100);
     state.replace(Listing { records, revision }, START);
