--- a/crates/front/src/relay/pooler.rs
+++ b/crates/front/src/relay/pooler.rs
@@ -1,4 +1,4 @@
-//! The pooler's side: grants connections to other proxies and answers their queries.
+//! The pooler's side: grants connections to other proxies and responds to their queries.
 
 use std::rc::Rc;
 
@@ -169,7 +169,7 @@
 
 /// Forwards lines in both directions until the connection is returned.
 ///
-/// The directions run concurrently and neither read is cancelled while the other goes on, since
+/// The directions run concurrently and neither read is cancelled while the other continues, since
 /// a cancelled read loses the bytes that it has received. The read that is cancelled at the end
 /// holds none, because a client proxy returns the connection only after the last response.
 async fn pipe(
--- a/crates/front/src/session/attempt.rs
+++ b/crates/front/src/session/attempt.rs
@@ -1,4 +1,4 @@
-//! Single statements: their attempts, and what the caller may be told after each outcome.
+//! Single statements: their attempts, and what may be reported to the caller for each outcome.
 
 use std::time::Duration;
 
--- a/crates/policy/src/group/repair.rs
+++ b/crates/policy/src/group/repair.rs
@@ -14,7 +14,7 @@
 /// repeating the command is harmless.
 const FOLLOW_RETRY: Span = Span::from_millis(1_000);
 
-/// Delay between the repairs of proxies that are neighbours in rank.
+/// Delay between the repairs of proxies that are adjacent in rank.
 const STAGGER: Span = Span::from_millis(500);
 
 /// Time without contact to its primary after which a replica is commanded to follow again.
--- a/crates/policy/src/group/step.rs
+++ b/crates/policy/src/group/step.rs
@@ -13,7 +13,7 @@
 use crate::promote::{Attempt, Request};
 use crate::rank;
 
-/// Delay between the attempts of proxies that are neighbours in rank. It covers claim and
+/// Delay between the attempts of proxies that are adjacent in rank. It covers claim and
 /// fence with 20 ms between regions, so that the next proxy usually sees the fence and
 /// starts no attempt.
 const STAGGER: Span = Span::from_millis(150);
